--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -8,33 +8,38 @@
 
 namespace {
 
-// Own requests count on top of a report until a later report must include them: the reports' interval and lag.
+// How long a sent request is counted on top of the server's report: the agents' report interval plus the transfer time.
+// A later report includes it.
 constexpr std::chrono::milliseconds reportLag { 150 };
-// What the gateways send within this time is not in anybody's report yet: the agents' interval and the way there.
-constexpr double unseenSeconds = 0.2;
-// Weight of a new gap between two requests in the rate.
-constexpr double rateSmoothing = 0.05;
-constexpr double longestGapSeconds = 2;
-// A server that fails everything still gets a request now and then, which shows when it is well again.
-constexpr double highestFailureShare = 0.9;
-// Without servers: about how long a new one takes to register.
+// Requests sent within this time are in no report yet: the agents' report interval plus the transfer time.
+constexpr double unreportedWindowSeconds = 0.2;
+// Weight of a new gap between two requests in the firstClosed average of the request rate.
+constexpr double rateSmoothingFactor = 0.05;
+// Longer gaps between two requests count as this long, so that an idle time does not dominate the average.
+constexpr double maxGapSeconds = 2;
+// Failure rates above this count as this rate: a server that fails every request still gets an occasional one, which
+// shows when it has recovered.
+constexpr double maxFailureRate = 0.9;
+// Time a new server takes to register; the wait that is stated when a deployment has no server.
 constexpr std::chrono::milliseconds registrationTime { 2000 };
-// Returns are spread over this share of the stated time, so that they do not come as one wave.
-constexpr double retrySpread = 0.5;
-constexpr std::chrono::milliseconds leastRetryAfter { 250 };
-// Reports of a group that has just opened do not show yet what all gateways send to it.
-constexpr std::chrono::milliseconds reportsSettleAfter { 300 };
-// All gateways together send a request this often into a group that stands with nothing to run.
-constexpr std::chrono::milliseconds probeEvery { 30 };
-// Where servers take next to nothing, or how much is not known yet.
-constexpr double leastShare = 0.05;
-// Callers that were refused before get no more of the slots than this: the rest is for new ones.
-constexpr double returningShareOfSlots = 0.8;
+// Retry times are jittered by up to this part of the stated time, so that retries do not arrive at once.
+constexpr double retryJitterRatio = 0.5;
+// Shortest retry time given to a caller.
+constexpr std::chrono::milliseconds minRetryAfter { 250 };
+// For this long after a group opened, its reports do not include yet what all gateways send to it.
+constexpr std::chrono::milliseconds reportSettleTime { 300 };
+// Interval at which all gateways together send a probing request to a stalled group that has no work.
+constexpr std::chrono::milliseconds probeInterval { 30 };
+// Lower bound for the permitted rate when waits are computed: servers may permit almost nothing, or a rate that is not
+// known yet.
+constexpr double minPermitsPerSecond = 0.05;
+// Part of the slots that returning callers, which were refused before, may fill; the rest is reserved for new ones.
+constexpr double maxReturningSlotShare = 0.8;
 
 duration jittered(duration base, std::minstd_rand& random)
 {
     return duration(static_cast<duration::rep>(
-        static_cast<double>(base.count()) * std::uniform_real_distribution<double>(1, 1 + retrySpread)(random)));
+        static_cast<double>(base.count()) * std::uniform_real_distribution<double>(1, 1 + retryJitterRatio)(random)));
 }
 
 } // namespace
@@ -49,31 +54,31 @@
 {
     for (const auto& [id, server] : servers) {
         auto& state = m_backends[id];
-        const bool isNews = enterLife(state, server.life);
-        const auto life = state.server.life;
+        const bool isCurrent = enterIncarnation(state, server.life);
+        const auto known = state.server.life;
         if (state.server.address != server.address)
             state.replacedUntil = {};
         state.server = server;
-        if (!isNews)
-            state.server.life = life; // The engine told of its restart before the store did.
+        if (!isCurrent)
+            state.server.life = known; // The engine reported its restart before the store did.
     }
     std::erase_if(m_backends, [&](const auto& entry) { return !servers.contains(entry.first); });
     for (const auto& deployment : catalogue.deployments())
         m_deployments[deployment.id].engine = deployment.engine;
-    for (auto& [key, outlook] : m_groups) {
+    for (auto& [key, monitor] : m_groups) {
         if (const auto& engine = m_deployments[key.deployment].engine)
-            outlook.setFormTime(engine->formTime);
+            monitor.setFormTime(engine->formTime);
     }
 }
 
-bool backend_picker::enterLife(backend_state& state, backend_life life)
+bool backend_picker::enterIncarnation(backend_state& state, backend_life received)
 {
-    if (life < state.server.life)
-        return life.isNone();
-    if (life == state.server.life)
+    if (received < state.server.life)
+        return received.isNone();
+    if (received == state.server.life)
         return true;
     auto server = state.server;
-    server.life = life;
+    server.life = received;
     state = {};
     state.server = std::move(server);
     return true;
@@ -88,25 +93,25 @@
 void backend_picker::report(const endpoint& address, const engine_report& report, time_point now)
 {
     for (auto& [id, state] : m_backends) {
-        if (state.server.address != address || !enterLife(state, report.life))
+        if (state.server.address != address || !enterIncarnation(state, report.life))
             continue;
         state.report = report;
         state.reportedAt = now;
-        std::erase_if(state.sentAt, [&](time_point sent) { return sent + reportLag < now; });
+        std::erase_if(state.unreportedSentAt, [&](time_point sent) { return sent + reportLag < now; });
         if (report.group.empty())
             continue;
         const group_key key { state.server.deployment, report.group };
         auto known = m_groups.find(key);
         if (known == m_groups.end()) {
-            known = m_groups.emplace(key, group_outlook()).first;
+            known = m_groups.emplace(key, group_monitor()).first;
             if (const auto& engine = m_deployments[key.deployment].engine)
                 known->second.setFormTime(engine->formTime);
         }
-        known->second.hear(address, report, now);
+        known->second.receiveReport(address, report, now);
     }
 }
 
-const group_outlook* backend_picker::groupOf(const backend_state& state) const
+const group_monitor* backend_picker::groupOf(const backend_state& state) const
 {
     if (!state.report || state.report->group.empty())
         return nullptr;
@@ -139,21 +144,21 @@
         return;
     const auto found = m_groups.find({ state->server.deployment, state->report->group });
     if (found != m_groups.end())
-        found->second.hearProof(now);
+        found->second.receiveFailureProof(now);
 }
 
-std::vector<backend_picker::group_view> backend_picker::groups(time_point now) const
+std::vector<backend_picker::group_status> backend_picker::groups(time_point now) const
 {
-    std::vector<group_view> views;
-    for (const auto& [key, outlook] : m_groups) {
-        views.push_back({ .deployment = key.deployment,
+    std::vector<group_status> statuses;
+    for (const auto& [key, monitor] : m_groups) {
+        statuses.push_back({ .deployment = key.deployment,
             .group = key.group,
-            .condition = outlook.condition(now),
-            .forecast = outlook.forecast(now),
-            .lastPassAt = outlook.lastPassAt(),
-            .passMs = outlook.passMs() });
+            .condition = monitor.condition(now),
+            .forecast = monitor.forecast(now),
+            .lastPassAt = monitor.lastPassAt(),
+            .passMs = monitor.passMs() });
     }
-    return views;
+    return statuses;
 }
 
 void backend_picker::responseLoad(
@@ -168,21 +173,22 @@
     state.report->running = running;
     state.report->waiting = waiting;
     state.reportedAt = now;
-    state.sentAt.clear();
+    state.unreportedSentAt.clear();
 }
 
 double backend_picker::loadOf(const backend_state& state, time_point now) const
 {
     double load = state.inFlight;
-    if (state.report && now - state.reportedAt <= m_options.reportLimit) {
+    if (state.report && now - state.reportedAt <= m_options.maxReportAge) {
         const double reported
-            = state.report->running + state.report->waiting + static_cast<double>(state.sentAt.size());
+            = state.report->running + state.report->waiting + static_cast<double>(state.unreportedSentAt.size());
         load = std::max(load, reported);
     }
     return load;
 }
 
-bool backend_picker::isBehindNew(const pick_request& request, const deployment_state& deployment, time_point now) const
+bool backend_picker::mustYieldToNew(
+    const pick_request& request, const deployment_state& deployment, time_point now) const
 {
     double slots = 0;
     double inFlight = 0;
@@ -195,18 +201,18 @@
         inFlight += state.inFlight;
         load += loadOf(state, now);
         const auto* group = groupOf(state);
-        isReported = isReported && group && now > group->openSince() + reportsSettleAfter
-            && now - state.reportedAt <= m_options.reportLimit;
+        isReported = isReported && group && now > group->openSince() + reportSettleTime
+            && now - state.reportedAt <= m_options.maxReportAge;
     }
-    if (inFlight < returningShareOfSlots * slots / m_gateways)
+    if (inFlight < maxReturningSlotShare * slots / m_gateways)
         return false;
-    // Callers come back to gateways unevenly: what one has too many of, another has room for, and reports show it.
-    // By the own part alone, some were refused while slots were free.
-    const double others = deployment.requestsPerSecond * (m_gateways - 1) * unseenSeconds;
-    return !isReported || load + others >= returningShareOfSlots * slots;
+    // Callers return to gateways unevenly, so another gateway may leave slots unused that this one needs; reports show
+    // that. Judged by this gateway's share alone, requests would be refused while slots are free.
+    const double otherGateways = deployment.requestsPerSecond * (m_gateways - 1) * unreportedWindowSeconds;
+    return !isReported || load + otherGateways >= maxReturningSlotShare * slots;
 }
 
-pass_model backend_picker::modelOf(const backend_state& state, const engine_model& engine) const
+pass_model backend_picker::passModelOf(const backend_state& state, const engine_model& engine) const
 {
     const auto* group = groupOf(state);
     return { engine, group ? group->passMs() : 0 };
@@ -214,27 +220,28 @@
 
 duration backend_picker::startLatencyAt(const backend_state& state, const deployment_state& deployment) const
 {
-    return deployment.engine ? modelOf(state, *deployment.engine).start() : duration::zero();
+    return deployment.engine ? passModelOf(state, *deployment.engine).startLatency() : duration::zero();
 }
 
-duration backend_picker::predictFirst(const backend_state& state, const deployment_state& group, time_point now) const
+duration backend_picker::predictFirstEvent(
+    const backend_state& state, const deployment_state& deployment, time_point now) const
 {
-    if (!group.engine)
-        return fromMilliseconds(state.latencyMs);
-    return modelOf(state, *group.engine).firstEvent(loadOf(state, now));
+    if (!deployment.engine)
+        return fromMilliseconds(state.meanLatencyMs);
+    return passModelOf(state, *deployment.engine).firstEventLatency(loadOf(state, now));
 }
 
-double backend_picker::scoreOf(const backend_state& state, const deployment_state& group, time_point now) const
+double backend_picker::scoreOf(const backend_state& state, const deployment_state& deployment, time_point now) const
 {
     double score = loadOf(state, now);
     if (state.server.dataCentre != m_options.home)
-        score += m_options.otherDataCentreHandicap;
-    if (!group.engine && state.latencyMs > 0)
-        score = (score + 1) * state.latencyMs / 10; // Slower servers have to be that much emptier.
+        score += m_options.remoteDataCentrePenalty;
+    if (!deployment.engine && state.meanLatencyMs > 0)
+        score = (score + 1) * state.meanLatencyMs / 10; // A slower server needs a proportionally lower load.
     if (state.report && state.report->pace > 1)
         score = (score + 1) * state.report->pace;
-    const double good = 1 - std::min(state.failureShare, highestFailureShare);
-    return (score + 1) / (good * good);
+    const double successRate = 1 - std::min(state.failureRate, maxFailureRate);
+    return (score + 1) / (successRate * successRate);
 }
 
 bool backend_picker::isServing(const backend_state& state, const deployment_id& deployment, time_point now) const
@@ -246,8 +253,8 @@
 std::vector<backend_picker::backend_state*> backend_picker::candidates(const pick_request& request, time_point now)
 {
     std::vector<backend_state*> all;
-    std::vector<backend_state*> trusted;
-    bool isAnyOpen = false;
+    std::vector<backend_state*> notEjected;
+    bool canAnyTake = false;
     for (auto& [id, state] : m_backends) {
         const bool isExcluded = std::find(request.excluded.begin(), request.excluded.end(), state.server.instance())
             != request.excluded.end();
@@ -256,26 +263,27 @@
         all.push_back(&state);
         if (now < state.ejectedUntil)
             continue;
-        trusted.push_back(&state);
-        isAnyOpen = isAnyOpen || m_notices.mayTake(state.server.instance(), now);
+        notEjected.push_back(&state);
+        canAnyTake = canAnyTake || m_notices.mayTake(state.server.instance(), now);
     }
-    // A suspicion may be wrong; refusing everybody because of it would be worse.
-    return isAnyOpen ? trusted : all;
+    // An ejection may be wrong, so ejections are ignored if no other server can take the request: refusing every
+    // request would be worse.
+    return canAnyTake ? notEjected : all;
 }
 
 pick_refused backend_picker::refuse(
     pick_refusal reason, duration wait, duration startLatency, const pick_request& request, time_point now)
 {
-    const auto honoured = std::max<duration>((request.deadline - now) / mostHonouredPart, duration::zero());
-    const auto asked = std::max<duration>(jittered(wait, m_random), leastRetryAfter);
+    const auto maxHonoured = std::max<duration>((request.deadline - now) / retryAfterDivisor, duration::zero());
+    const auto jitteredWait = std::max<duration>(jittered(wait, m_random), minRetryAfter);
     return { .reason = reason,
-        .retryAfter = std::min(asked, std::max<duration>(honoured, leastRetryAfter)),
+        .retryAfter = std::min(jitteredWait, std::max<duration>(maxHonoured, minRetryAfter)),
         .expectedWait = wait,
         .startLatency = startLatency,
         .expectedOpenAt = {} };
 }
 
-pick_refused backend_picker::refuseForWantOfServers(const pick_request& request, time_point now)
+pick_refused backend_picker::refuseForNoCandidates(const pick_request& request, time_point now)
 {
     auto openAt = time_point::max();
     const backend_state* first = nullptr;
@@ -291,8 +299,9 @@
     auto refused = refuse(
         pick_refusal::Resting, openAt - now, startLatencyAt(*first, m_deployments[request.deployment]), request, now);
     refused.expectedOpenAt = openAt;
-    // Beyond the rest, also where that is later than callers heed, and not all of them in the same moment.
-    refused.retryAfter = std::max<duration>(jittered(openAt - now, m_random), leastRetryAfter);
+    // A retry before the backoff ends would be refused again, so the time exceeds it even if callers do not wait that
+    // long. Jittered, so that callers do not retry at once.
+    refused.retryAfter = std::max<duration>(jittered(openAt - now, m_random), minRetryAfter);
     return refused;
 }
 
@@ -300,49 +309,49 @@
     const std::vector<backend_state*>& servers, const pick_request& request, time_point now)
 {
     std::optional<group_forecast> first;
-    bool isStanding = false;
+    bool isStalled = false;
     const backend_state* firstServer = servers.front();
     for (const auto* state : servers) {
         const auto* group = groupOf(*state);
         const auto forecast = group->forecast(now);
-        isStanding = isStanding || group->condition(now) == group_condition::Standing;
+        isStalled = isStalled || group->condition(now) == group_condition::Stalled;
         if (first && forecast.openAt >= first->openAt)
             continue;
         first = forecast;
         firstServer = state;
     }
-    auto refused = refuse(isStanding ? pick_refusal::GroupStanding : pick_refusal::GroupDown, first->openBy - now,
+    auto refused = refuse(isStalled ? pick_refusal::GroupStalled : pick_refusal::GroupDown, first->openBy - now,
         startLatencyAt(*firstServer, m_deployments[request.deployment]), request, now);
     refused.expectedOpenAt = first->openAt;
-    // Beyond the outage, also where that is later than callers heed: one that is back too early is lost, and one
-    // that comes later than need be is served just as late.
-    refused.retryAfter = std::max<duration>(first->openBy - now, leastRetryAfter);
+    // The time exceeds the expected outage even if callers do not wait that long: a caller retries once, so one that
+    // returns too early is lost, while one that returns later than necessary is still served.
+    refused.retryAfter = std::max<duration>(first->openBy - now, minRetryAfter);
     return refused;
 }
 
-void backend_picker::noteRate(deployment_state& group, time_point now)
+void backend_picker::updateRequestRate(deployment_state& deployment, time_point now)
 {
-    if (group.lastSentAt != time_point {}) {
-        const double gap = std::clamp(toMilliseconds(now - group.lastSentAt) / 1000, 0.001, longestGapSeconds);
-        // Averages the gaps, not their inverses: requests come in clumps.
-        const double mean = group.requestsPerSecond > 0 ? 1 / group.requestsPerSecond : gap;
-        group.requestsPerSecond = 1 / (mean + rateSmoothing * (gap - mean));
+    if (deployment.lastSentAt != time_point {}) {
+        const double gap = std::clamp(toMilliseconds(now - deployment.lastSentAt) / 1000, 0.001, maxGapSeconds);
+        // Requests arrive in bursts, so the gaps are averaged and not the rates, which their inverses are.
+        const double mean = deployment.requestsPerSecond > 0 ? 1 / deployment.requestsPerSecond : gap;
+        deployment.requestsPerSecond = 1 / (mean + rateSmoothingFactor * (gap - mean));
     }
-    group.lastSentAt = now;
+    deployment.lastSentAt = now;
 }
 
 backend_picker::backend_state& backend_picker::choose(
-    const std::vector<backend_state*>& usable, const deployment_state& group, time_point now)
+    const std::vector<backend_state*>& usable, const deployment_state& deployment, time_point now)
 {
-    const double unseen = std::max(1.0, group.requestsPerSecond * m_gateways * unseenSeconds);
+    const double unreported = std::max(1.0, deployment.requestsPerSecond * m_gateways * unreportedWindowSeconds);
     std::vector<double> scores;
     scores.reserve(usable.size());
     for (const auto* state : usable)
-        scores.push_back(scoreOf(*state, group, now));
-    return *usable[chooseServer(scores, unseen, std::uniform_real_distribution<double>()(m_random))];
+        scores.push_back(scoreOf(*state, deployment, now));
+    return *usable[chooseServer(scores, unreported, std::uniform_real_distribution<double>()(m_random))];
 }
 
-bool backend_picker::keepProbed(std::vector<backend_state*>& servers, time_point now)
+bool backend_picker::keepProbeTargets(std::vector<backend_state*>& servers, time_point now)
 {
     const auto found = std::find_if(servers.begin(), servers.end(), [&](const auto* state) {
         const auto* group = groupOf(*state);
@@ -351,97 +360,98 @@
     if (found == servers.end())
         return false;
     const group_key probed { (*found)->server.deployment, (*found)->report->group };
-    m_groups.at(probed).noteProbe(now + probeEvery * m_gateways);
+    m_groups.at(probed).onProbeSent(now + probeInterval * m_gateways);
     std::erase_if(servers, [&](const auto* state) { return state->report->group != probed.group; });
     return true;
 }
 
-// Wishes are drawn by chance, so that many limited servers are asked for evenly.
-void backend_picker::wishForPermit(const std::vector<backend_state*>& servers, time_point now)
+// Chooses the server at random, so that permit requests spread evenly over the limited servers.
+void backend_picker::requestPermit(const std::vector<backend_state*>& servers, time_point now)
 {
-    std::vector<const backend_state*> lacking;
+    std::vector<const backend_state*> withoutPermit;
     for (const auto* state : servers) {
         if (!m_notices.mayTake(state->server.instance(), now))
-            lacking.push_back(state);
+            withoutPermit.push_back(state);
     }
-    if (lacking.empty())
+    if (withoutPermit.empty())
         return;
-    const auto& server = lacking[std::uniform_int_distribution<std::size_t>(0, lacking.size() - 1)(m_random)]->server;
+    const auto& server
+        = withoutPermit[std::uniform_int_distribution<std::size_t>(0, withoutPermit.size() - 1)(m_random)]->server;
     const auto serial = m_notices.wish(server.instance(), now);
-    if (serial && m_askPermit)
-        m_askPermit(server, *serial);
+    if (serial && m_sendPermitRequest)
+        m_sendPermitRequest(server, *serial);
 }
 
 std::optional<pick_refused> backend_picker::keepPermitted(
     std::vector<backend_state*>& servers, const pick_request& request, time_point now)
 {
-    wishForPermit(servers, now);
-    const auto lacking = std::partition(servers.begin(), servers.end(),
+    requestPermit(servers, now);
+    const auto withoutPermit = std::partition(servers.begin(), servers.end(),
         [&](const auto* state) { return m_notices.mayTake(state->server.instance(), now); });
-    const bool isAnyFree = std::any_of(
-        servers.begin(), lacking, [&](const auto* state) { return !m_notices.isLimited(state->server.instance()); });
-    const auto permits = static_cast<std::size_t>(std::distance(servers.begin(), lacking));
-    const auto& line = m_deployments[request.deployment].line;
-    const auto ahead = request.place ? line.ahead(*request.place) : line.aheadOfNew(request.priority);
-    if (!isAnyFree && ahead >= permits)
+    const bool isAnyUnlimited = std::any_of(servers.begin(), withoutPermit,
+        [&](const auto* state) { return !m_notices.isLimited(state->server.instance()); });
+    const auto permits = static_cast<std::size_t>(std::distance(servers.begin(), withoutPermit));
+    const auto& queue = m_deployments[request.deployment].queue;
+    const auto ahead = request.place ? queue.ahead(*request.place) : queue.aheadOfNew(request.priority);
+    if (!isAnyUnlimited && ahead >= permits)
         return refuseForLimits(servers, ahead - permits, request, now);
-    servers.erase(lacking, servers.end());
+    servers.erase(withoutPermit, servers.end());
     return std::nullopt;
 }
 
 pick_refused backend_picker::refuseForLimits(
     const std::vector<backend_state*>& servers, std::size_t ahead, const pick_request& request, time_point now)
 {
-    double share = 0;
-    auto firstAt = time_point::max();
+    double permitsPerSecond = 0;
+    auto earliestPermitAt = time_point::max();
     for (const auto* state : servers) {
-        share += m_notices.shareOf(state->server.instance());
-        firstAt = std::min(firstAt, m_notices.expectedAt(state->server.instance(), now));
+        permitsPerSecond += m_notices.shareOf(state->server.instance());
+        earliestPermitAt = std::min(earliestPermitAt, m_notices.expectedAt(state->server.instance(), now));
     }
-    const auto perRequest = fromMilliseconds(1000 / std::max(share, leastShare));
+    const auto requestInterval = fromMilliseconds(1000 / std::max(permitsPerSecond, minPermitsPerSecond));
     auto& deployment = m_deployments[request.deployment];
-    const auto wait = firstAt - now + static_cast<int>(ahead) * perRequest;
+    const auto wait = earliestPermitAt - now + static_cast<int>(ahead) * requestInterval;
     auto refused = refuse(pick_refusal::Limited, wait, startLatencyAt(*servers.front(), deployment), request, now);
-    refused.spacing = perRequest;
+    refused.requestInterval = requestInterval;
     return refused;
 }
 
 duration backend_picker::scheduleReturn(const pick_request& request, const pick_refused& refused, time_point now)
 {
-    if (refused.spacing <= duration::zero())
+    if (refused.requestInterval <= duration::zero())
         return refused.retryAfter;
-    auto& last = m_deployments[request.deployment].lastReturnAt;
-    const auto honoured = std::max<duration>((request.deadline - now) / mostHonouredPart, leastRetryAfter);
-    const auto returnAt = std::max(now + refused.retryAfter, last + refused.spacing);
-    last = std::min(returnAt, now + honoured);
+    auto& last = m_deployments[request.deployment].lastScheduledReturnAt;
+    const auto maxHonoured = std::max<duration>((request.deadline - now) / retryAfterDivisor, minRetryAfter);
+    const auto returnAt = std::max(now + refused.retryAfter, last + refused.requestInterval);
+    last = std::min(returnAt, now + maxHonoured);
     return last - now;
 }
 
 tl::expected<picked_backend, pick_refused> backend_picker::pick(const pick_request& request, time_point now)
 {
-    auto& group = m_deployments[request.deployment];
+    auto& deployment = m_deployments[request.deployment];
     auto usable = candidates(request, now);
     if (usable.empty())
-        return tl::unexpected(refuseForWantOfServers(request, now));
-    const auto moving
+        return tl::unexpected(refuseForNoCandidates(request, now));
+    const auto firstClosed
         = std::partition(usable.begin(), usable.end(), [&](const auto* state) { return isMoving(*state, now); });
-    if (moving != usable.begin())
-        usable.erase(moving, usable.end());
-    else if (!keepProbed(usable, now))
+    if (firstClosed != usable.begin())
+        usable.erase(firstClosed, usable.end());
+    else if (!keepProbeTargets(usable, now))
         return tl::unexpected(refuseForGroups(usable, request, now));
     if (auto refused = keepPermitted(usable, request, now))
         return tl::unexpected(*refused);
-    auto& chosen = choose(usable, group, now);
-    const auto predicted = predictFirst(chosen, group, now);
+    auto& chosen = choose(usable, deployment, now);
+    const auto predicted = predictFirstEvent(chosen, deployment, now);
     const double load = loadOf(chosen, now);
-    if (group.engine && !request.isResumption) {
-        const double waiting = load + 1 - modelOf(chosen, *group.engine).runningLimit(request.gapTarget);
+    if (deployment.engine && !request.isResumption) {
+        const double waiting = load + 1 - passModelOf(chosen, *deployment.engine).runningLimit(request.gapTarget);
         const bool isTooLate = predicted > (request.isReturning ? request.deadline - now : request.latencyTarget);
-        const bool isTooSlow = load + 1 <= group.engine->slots; // It would run, and slow all others down.
-        const bool isBehind = request.isReturning && isBehindNew(request, group, now);
-        if (isBehind || (waiting > 0 && (isTooLate || isTooSlow)))
+        const bool wouldSlowOthers = load + 1 <= deployment.engine->slots; // It would run, but slow down all others.
+        const bool mustYield = request.isReturning && mustYieldToNew(request, deployment, now);
+        if (mustYield || (waiting > 0 && (isTooLate || wouldSlowOthers)))
             return tl::unexpected(
-                refuse(pick_refusal::Overloaded, predicted, startLatencyAt(chosen, group), request, now));
+                refuse(pick_refusal::Overloaded, predicted, startLatencyAt(chosen, deployment), request, now));
     }
     return picked_backend { .server = chosen.server,
         .predicted = predicted,
@@ -454,9 +464,9 @@
     auto* state = find(server);
     if (!state)
         return;
-    noteRate(m_deployments[state->server.deployment], now);
+    updateRequestRate(m_deployments[state->server.deployment], now);
     ++state->inFlight;
-    state->sentAt.push_back(now);
+    state->unreportedSentAt.push_back(now);
 }
 
 void backend_picker::finished(
@@ -468,26 +478,28 @@
     auto& state = *found;
     if (state.inFlight > 0)
         --state.inFlight;
-    // While the group does not move, no rank can answer, so that it says nothing of this one.
     if (outcome == backend_outcome::Replaced)
-        state.replacedUntil = now + m_options.replacedLimit;
+        state.replacedUntil = now + m_options.maxReplacedTime;
+    // While its group makes no passes, no rank can answer, so a failure does not indicate a fault of this server.
     if (outcome == backend_outcome::Abandoned || !isMoving(state, now))
         return;
     const bool isBreak = outcome == backend_outcome::Broken || outcome == backend_outcome::Silent;
     const bool isFailure = isBreak || outcome == backend_outcome::Failed;
-    state.failureShare += m_options.smoothing * ((isFailure ? 1 : 0) - state.failureShare);
+    state.failureRate += m_options.smoothingFactor * ((isFailure ? 1 : 0) - state.failureRate);
     if (isBreak) {
-        ++state.consecutiveBreaks;
-        const auto factor = 1U << std::min(state.consecutiveBreaks - 1, 8U);
-        state.ejectedUntil = now + std::min<duration>(m_options.ejection * factor, m_options.longestEjection);
+        ++state.consecutiveBrokenExchanges;
+        const auto factor = 1U << std::min(state.consecutiveBrokenExchanges - 1, 8U);
+        state.ejectedUntil = now + std::min<duration>(m_options.baseEjectionTime * factor, m_options.maxEjectionTime);
         return;
     }
-    state.consecutiveBreaks = 0;
+    state.consecutiveBrokenExchanges = 0;
+    // The server is full or its group is broken; reports show when that ends.
     if (outcome == backend_outcome::Busy)
-        state.ejectedUntil = now + m_options.ejection / 2; // It is full or its group broke; reports tell when not.
+        state.ejectedUntil = now + m_options.baseEjectionTime / 2;
     if (latency && outcome == backend_outcome::Answered) {
         const double sample = toMilliseconds(*latency);
-        state.latencyMs += (state.latencyMs == 0 ? 1 : m_options.smoothing) * (sample - state.latencyMs);
+        state.meanLatencyMs
+            += (state.meanLatencyMs == 0 ? 1 : m_options.smoothingFactor) * (sample - state.meanLatencyMs);
     }
 }
 
--- a/coltsfootbend/gateway/backend_picker.h
+++ b/coltsfootbend/gateway/backend_picker.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// Chooses the backend server for a request, or refuses it, from what is known of load and of how servers answered. The
-// knowledge of one gateway is partial: reports are some hundred milliseconds old, and other gateways send too.
-// Deterministic apart from the random source that it is given. Not for sending: see `gateway/exchange.h`.
+// Chooses the backend server for a request, or refuses the request, from reported load, the condition of engine groups
+// and the outcome of earlier requests. One gateway's view is partial: reports are a few hundred milliseconds old, and
+// other gateways send to the same servers. Deterministic apart from its seeded random source. Does not send requests:
+// see `gateway/exchange.h`.
 //
-//     backend_picker picker(options, random);
-//     picker.setServers(directory.servers(), deployments);
+//     backend_picker picker(options, seed);
+//     picker.setServers(directory.servers(), catalogue);
 //     auto choice = picker.pick({ .deployment = id, .latencyTarget = 400ms, ... }, now);
 //     if (choice) { picker.sent(choice->server.instance(), now); ...; picker.finished(..., outcome, latency, now); }
 
@@ -13,7 +14,7 @@
 #include "coltsfootbend/gateway/backend_notices.h"
 #include "coltsfootbend/gateway/catalogue.h"
 #include "coltsfootbend/gateway/engine_report.h"
-#include "coltsfootbend/gateway/group_outlook.h"
+#include "coltsfootbend/gateway/group_monitor.h"
 #include "coltsfootbend/gateway/pass_model.h"
 #include "coltsfootbend/gateway/pick.h"
 
@@ -31,65 +32,70 @@
 class backend_picker {
 public:
     struct options {
+        // Data centre of this gateway; its servers are preferred.
         data_centre_id home;
-        // Reports older than this are not believed.
-        duration reportLimit = std::chrono::milliseconds(1500);
-        // A server that broke an exchange is left alone for this long, doubled with each further time.
-        duration ejection = std::chrono::milliseconds(400);
-        duration longestEjection = std::chrono::seconds(4);
-        // What a server of another data centre must have less, in requests, to be chosen.
-        double otherDataCentreHandicap = 0.25;
-        // A server whose address another one has is asked no more until it is registered anew, but for so long at most.
-        duration replacedLimit = std::chrono::seconds(5);
-        // The share of a new sample in the averages of latency and of failures.
-        double smoothing = 0.2;
+        // Load reports older than this are ignored.
+        duration maxReportAge = std::chrono::milliseconds(1500);
+        // How long a server gets no requests after it broke one exchange; doubles with each further one in a row.
+        duration baseEjectionTime = std::chrono::milliseconds(400);
+        // Upper bound of the doubled ejection time.
+        duration maxEjectionTime = std::chrono::seconds(4);
+        // Added to the score of a server of another data centre, in requests: it must have that many fewer.
+        double remoteDataCentrePenalty = 0.25;
+        // How long a server gets no requests after another server answered at its address, unless it registers anew
+        // earlier.
+        duration maxReplacedTime = std::chrono::seconds(5);
+        // Weight of a new sample in the moving averages of latency and failure rate.
+        double smoothingFactor = 0.2;
     };
 
     backend_picker(options, std::minstd_rand::result_type seed);
 
-    // Takes the servers and deployments as they are now; what is known of those that stay is kept.
+    // Replaces the set of servers and deployments; keeps the state of those that remain.
     void setServers(const std::map<backend_id, backend_server>&, const catalogue&);
 
-    // What servers have asked for, by which the choice abides.
+    // Returns the limits, backoffs and departures that servers have announced; `pick` respects them.
     backend_notices& notices() { return m_notices; }
 
-    // `ask` is handed the limited servers for which a permit is to be asked, each with the number of the wish.
-    void onPermitWish(std::function<void(const backend_server&, std::uint64_t serial)> ask)
+    // Sets the function that sends a permit request for a limited server, with the request's serial number.
+    void onPermitWish(std::function<void(const backend_server&, std::uint64_t serial)> sendPermitRequest)
     {
-        m_askPermit = std::move(ask);
+        m_sendPermitRequest = std::move(sendPermitRequest);
     }
-    // Those that wait for limited servers of a deployment.
-    waiting_line& lineOf(const deployment_id& deployment) { return m_deployments[deployment].line; }
+    // Returns the queue of requests that wait for limited servers of `deployment`.
+    waiting_line& lineOf(const deployment_id& deployment) { return m_deployments[deployment].queue; }
 
-    // How many gateways send to the same servers, this one included.
+    // Sets the number of gateways that send to the same servers, including this one.
     void setGateways(std::uint32_t count) { m_gateways = std::max(1U, count); }
 
-    // Takes news of the engine at `address`. News of a life before the known one is dropped; with a later one all that
-    // is remembered of the server starts anew.
+    // Processes a report of the engine at `address`. Ignores a report of an earlier incarnation; a report of a newer
+    // one resets all state of the server.
     void report(const endpoint& address, const engine_report&, time_point now);
-    // Takes what a response told of its server's load. Like `sent` and `finished` without effect for another life of
-    // the server than the one that it has now.
+    // Processes the load that a response of the server stated. Has no effect unless the server is known with this
+    // incarnation; the same holds for `sent` and `finished`.
     void responseLoad(const backend_instance&, std::uint32_t running, std::uint32_t waiting, time_point now);
 
+    // Returns the server to send the request to, or why it is refused.
     tl::expected<picked_backend, pick_refused> pick(const pick_request&, time_point now);
 
-    // After which time a caller that is refused is to come back. Where servers take only so many, each is given a time
-    // of its own, for all at the same time would be refused again.
+    // Returns after which time a refused caller should retry. If servers are limited, assigns each caller a retry time
+    // of its own, because callers that retry at the same time would be refused again.
     duration scheduleReturn(const pick_request&, const pick_refused&, time_point now);
 
+    // Records that a request was sent to the server.
     void sent(const backend_instance&, time_point now);
-    // `latency`: to the first byte of the answer, where there was one.
+    // Records the outcome of a request. `latency`: time to the first byte of the answer, if there was one.
     void finished(const backend_instance&, backend_outcome, std::optional<duration> latency, time_point now);
 
-    // A server answered that another rank of its group is gone.
+    // Records that the server's answer reported another rank of its group as unreachable.
     void groupFailed(const backend_instance&, time_point now);
-    // True when the server belongs to no group, or to one that makes passes. O(ranks).
+    // Returns true if the server belongs to no group, or to one that is making passes. O(ranks).
     bool isMoving(const backend_instance&, time_point now) const;
-    // True when a server of `deployment` can take a request, for all that is known of their groups. O(servers).
+    // Returns true if a server of `deployment` accepts new work and its group, if any, is open. O(servers).
     bool isOpen(const deployment_id& deployment, time_point now) const;
 
-    // What is believed of one group, for the log.
-    struct group_view {
+    // State of one group, for the log.
+    struct group_status {
         deployment_id deployment;
         std::string group;
         group_condition condition = group_condition::Open;
@@ -97,7 +103,7 @@
         time_point lastPassAt {};
         double passMs = 0;
     };
-    std::vector<group_view> groups(time_point now) const;
+    std::vector<group_status> groups(time_point now) const;
 
 private:
     struct group_key {
@@ -109,62 +115,74 @@
         backend_server server;
         std::optional<engine_report> report;
         time_point reportedAt {};
-        // Of own requests: in flight, and when those were sent that the report cannot know yet.
+        // Requests of this gateway that are in flight.
         std::uint32_t inFlight = 0;
-        std::vector<time_point> sentAt;
-        std::uint32_t consecutiveBreaks = 0;
+        // Send times of this gateway's requests that the last report cannot include yet.
+        std::vector<time_point> unreportedSentAt;
+        std::uint32_t consecutiveBrokenExchanges = 0;
         time_point ejectedUntil {};
         time_point replacedUntil {};
-        double failureShare = 0;
-        double latencyMs = 0;
+        // Moving average; 1 if every request fails.
+        double failureRate = 0;
+        // Moving average of the time to the first byte; 0 until known.
+        double meanLatencyMs = 0;
     };
     struct deployment_state {
         std::optional<engine_model> engine;
-        // Of the requests that this gateway sends.
+        // Rate at which this gateway sends requests.
         double requestsPerSecond = 0;
         time_point lastSentAt {};
-        // Of those that wait for limited servers.
-        waiting_line line;
-        // When the last of those is back who were refused for limits.
-        time_point lastReturnAt {};
+        // Requests that wait for limited servers.
+        waiting_line queue;
+        // Latest retry time assigned to a caller that was refused because of limits.
+        time_point lastScheduledReturnAt {};
     };
 
-    // Null unless the server is known with this life.
+    // Returns null unless the server is known with this incarnation.
     backend_state* find(const backend_instance&);
-    // Forgets what belongs to a former life. Returns false when `life` itself is a former one.
-    static bool enterLife(backend_state&, backend_life life);
-    // Null for a server that belongs to no group, or whose group is not known yet.
-    const group_outlook* groupOf(const backend_state&) const;
+    // Switches to the incarnation `received` and discards the state of an earlier one. Returns false if `received`
+    // itself is an earlier one.
+    static bool enterIncarnation(backend_state&, backend_life received);
+    // Returns null for a server that belongs to no group, or whose group is not known yet.
+    const group_monitor* groupOf(const backend_state&) const;
     bool isMoving(const backend_state&, time_point now) const;
-    // What is expected of the group that opens first. None is open.
+    // Refuses a request for which no group is open. States when the first group is expected to open.
     pick_refused refuseForGroups(const std::vector<backend_state*>&, const pick_request&, time_point now);
-    // Keeps those of `servers` that one request may be sent to although their group stands. False when there are none.
-    bool keepProbed(std::vector<backend_state*>& servers, time_point now);
-    // Keeps those of `servers` that take one more. Returns why the request may not be sent, where there are none.
+    // Reduces `servers` to those of one stalled group that may be probed with this request. Returns false if there is
+    // no such group.
+    bool keepProbeTargets(std::vector<backend_state*>& servers, time_point now);
+    // Reduces `servers` to those that may be sent one more request. Returns a refusal if all are limited and the
+    // requests ahead in the queue use up the permits.
     std::optional<pick_refused> keepPermitted(
         std::vector<backend_state*>& servers, const pick_request&, time_point now);
-    // Asks for a permit of one of those servers that need one.
-    void wishForPermit(const std::vector<backend_state*>&, time_point now);
-    // `ahead`: others that get permits first.
+    // Requests a permit for one of the servers that need one.
+    void requestPermit(const std::vector<backend_state*>&, time_point now);
+    // `ahead`: number of queued requests that get permits first.
     pick_refused refuseForLimits(
         const std::vector<backend_state*>&, std::size_t ahead, const pick_request&, time_point now);
+    // Returns the number of requests at the server: the last report plus later sends, or at least those in flight.
     double loadOf(const backend_state&, time_point now) const;
+    // Returns how unfavourable the server is, in requests; the lowest score is best.
     double scoreOf(const backend_state&, const deployment_state&, time_point now) const;
-    duration predictFirst(const backend_state&, const deployment_state&, time_point now) const;
-    // True when a caller that was refused before has to stand behind new ones: neither this gateway's part of the slots
-    // nor what reports tell of all of them leaves room beside those kept for new callers.
-    bool isBehindNew(const pick_request&, const deployment_state&, time_point now) const;
-    pass_model modelOf(const backend_state&, const engine_model&) const;
-    // How long a request waits and how long its first event takes then, at `state`.
+    // Returns the expected time to the first event, or to the answer of a server without an engine model.
+    duration predictFirstEvent(const backend_state&, const deployment_state&, time_point now) const;
+    // Returns true if a returning request must yield its slot to new requests: neither this gateway's share of the
+    // slots nor the reported load of all servers leaves capacity beyond the slots reserved for new callers.
+    bool mustYieldToNew(const pick_request&, const deployment_state&, time_point now) const;
+    pass_model passModelOf(const backend_state&, const engine_model&) const;
+    // Builds a refusal. `wait`: time until the request could be sent. `startLatency`: time to its first event after
+    // that.
     pick_refused refuse(pick_refusal, duration wait, duration startLatency, const pick_request&, time_point now);
+    // Returns the expected time to the first event once a slot of the server is free.
     duration startLatencyAt(const backend_state&, const deployment_state&) const;
     backend_state& choose(const std::vector<backend_state*>&, const deployment_state&, time_point now);
-    static void noteRate(deployment_state&, time_point now);
-    // Whether the server belongs to `deployment` and takes new work.
+    static void updateRequestRate(deployment_state&, time_point now);
+    // Returns true if the server belongs to `deployment` and accepts new work.
     bool isServing(const backend_state&, const deployment_id&, time_point now) const;
+    // Returns the servers that the request may be sent to, leaving aside their groups and permits.
     std::vector<backend_state*> candidates(const pick_request&, time_point now);
-    // For a request for which there are no candidates.
-    pick_refused refuseForWantOfServers(const pick_request&, time_point now);
+    // Refuses a request that has no candidates.
+    pick_refused refuseForNoCandidates(const pick_request&, time_point now);
 
     const options m_options;
     std::minstd_rand m_random;
@@ -172,8 +190,8 @@
     std::uint32_t m_gateways = 1;
     std::map<backend_id, backend_state> m_backends;
     std::map<deployment_id, deployment_state> m_deployments;
-    std::map<group_key, group_outlook> m_groups;
-    std::function<void(const backend_server&, std::uint64_t serial)> m_askPermit;
+    std::map<group_key, group_monitor> m_groups;
+    std::function<void(const backend_server&, std::uint64_t serial)> m_sendPermitRequest;
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/backend_picker_test.cpp
+++ b/coltsfootbend/gateway/backend_picker_test.cpp
@@ -57,7 +57,7 @@
         return { .deployment = deployment, .latencyTarget = 400ms, .deadline = m_now + 8s };
     }
 
-    // Fails the test when the request is not refused.
+    // Returns the refusal of the request. Fails the test if it is not refused.
     pick_refused refusalOf(const pick_request& request)
     {
         const auto picked = m_picker.pick(request, m_now);
@@ -74,7 +74,7 @@
     std::uint64_t m_step = 10;
 };
 
-TEST_F(backend_picker_test, WithoutServersTheRequestIsRefused)
+TEST_F(backend_picker_test, RequestIsRefusedWithoutServers)
 {
     const auto picked = m_picker.pick(request(llm), m_now);
     ASSERT_FALSE(picked);
@@ -82,7 +82,7 @@
     EXPECT_GT(picked.error().retryAfter, duration::zero());
 }
 
-TEST_F(backend_picker_test, ALeavingServerGetsNothing)
+TEST_F(backend_picker_test, LeavingServerGetsNoRequests)
 {
     use(llm, 2);
     m_servers[idOf(1)].isLeaving = true;
@@ -91,7 +91,7 @@
         EXPECT_EQ(m_picker.pick(request(llm), m_now)->server.id, idOf(2));
 }
 
-TEST_F(backend_picker_test, TheEmptierServerIsChosen)
+TEST_F(backend_picker_test, LessLoadedServerIsChosen)
 {
     use(llm, 2);
     reportAll(1, 0);
@@ -101,8 +101,9 @@
         EXPECT_EQ(m_picker.pick(request(llm), m_now)->server.id, idOf(2));
 }
 
-// Nine gateways with the same reports and 60 requests a second: nobody may be buried between two reports.
-TEST_F(backend_picker_test, GatewaysThatDoNotSeeEachOtherDoNotBuryTheEmptiestServer)
+// Nine gateways with the same reports send 60 requests a second. If each chose the server that looks least loaded, that
+// server would be overloaded between two reports.
+TEST_F(backend_picker_test, GatewaysWithTheSameReportsDoNotOverloadTheLeastLoadedServer)
 {
     use(llm, 12);
     std::vector<std::unique_ptr<backend_picker>> gateways;
@@ -116,7 +117,7 @@
     std::uint32_t most = 0;
     for (int request = 0; request < 600; ++request) {
         m_now += 16ms;
-        if (request % 12 == 0) { // The reports, each 200 ms, and half of what runs ends.
+        if (request % 12 == 0) { // Reports arrive every 200 ms, and half of the requests end.
             for (int i = 1; i <= 12; ++i) {
                 auto& count = running[idOf(i)];
                 count = i == 1 ? 0 : count / 2 + 1;
@@ -140,10 +141,10 @@
         gateway.finished(picked->server.instance(), backend_outcome::Abandoned, {}, m_now);
         most = std::max(most, ++running[picked->server.id]);
     }
-    EXPECT_LE(most, 9U) << "choosing the emptiest by one's own knowledge piles up 10";
+    EXPECT_LE(most, 9U) << "if each gateway chooses the least loaded server, 10 requests pile up";
 }
 
-TEST_F(backend_picker_test, OwnRequestsCountBeforeAnyReportShowsThem)
+TEST_F(backend_picker_test, OwnRequestsCountBeforeAReportIncludesThem)
 {
     use(llm, 2);
     reportAll(0, 0);
@@ -156,7 +157,7 @@
     EXPECT_EQ(chosen.size(), 2U);
 }
 
-TEST_F(backend_picker_test, WhenAllSlotsAreTakenAndTheWaitIsTooLongItRefusesAtOnce)
+TEST_F(backend_picker_test, RequestIsRefusedAtOnceWhenTheWaitForASlotIsTooLong)
 {
     use(llm, 3);
     reportAll(4, 6);
@@ -166,17 +167,17 @@
     EXPECT_LE(picked.error().retryAfter, duration(8s) / 3);
 }
 
-TEST_F(backend_picker_test, AShortWaitIsAccepted)
+TEST_F(backend_picker_test, RequestIsSentWhenTheWaitForASlotIsShort)
 {
     use(llm, 3);
     reportAll(4, 0);
     EXPECT_TRUE(m_picker.pick(request(llm), m_now));
 }
 
-TEST_F(backend_picker_test, PassesThatTakeLongerThanTheAcceptedPauseLimitWhatRuns)
+TEST_F(backend_picker_test, GapTargetLimitsRunningRequestsWhenPassesAreLong)
 {
     use(llm, 3);
-    for (int i = 0; i < 30; ++i) { // Five passes a second, each of 200 ms.
+    for (int i = 0; i < 30; ++i) { // Five passes of 200 ms each second.
         m_step += 5;
         m_now += 1s;
         reportAll(3, 0);
@@ -189,7 +190,7 @@
     EXPECT_EQ(picked.error().reason, pick_refusal::Overloaded);
 }
 
-TEST_F(backend_picker_test, ReturningCallersLeaveRoomForNewOnes)
+TEST_F(backend_picker_test, ReturningCallersLeaveSlotsForNewOnes)
 {
     use(llm, 3);
     reportAll(0, 0);
@@ -203,11 +204,11 @@
             break;
         m_picker.sent(picked->server.instance(), m_now);
     }
-    EXPECT_EQ(taken, 4) << "of a third of twelve slots";
+    EXPECT_EQ(taken, 4) << "80% of this gateway's share, a third of twelve slots, rounded up";
     EXPECT_TRUE(m_picker.pick(request(llm), m_now));
 }
 
-TEST_F(backend_picker_test, ACallerThatWasRefusedBeforeMayWaitLonger)
+TEST_F(backend_picker_test, ReturningCallerMayWaitLonger)
 {
     use(llm, 3);
     reportAll(4, 1);
@@ -217,7 +218,7 @@
     EXPECT_TRUE(m_picker.pick(returning, m_now));
 }
 
-TEST_F(backend_picker_test, ABrokenGroupIsRefusedUntilItIsOpenAgain)
+TEST_F(backend_picker_test, RequestIsRefusedWhileItsGroupIsBroken)
 {
     use(llm, 3);
     reportAll(1, 0);
@@ -231,10 +232,10 @@
     EXPECT_TRUE(m_picker.pick(request(llm), m_now));
 }
 
-TEST_F(backend_picker_test, ABrokenGroupWhoseEnginesAreAllHeardIsAboutToOpen)
+TEST_F(backend_picker_test, BrokenGroupIsExpectedToOpenOnceAllEnginesReport)
 {
     use(llm, 3);
-    const auto tell = [&](int number) {
+    const auto report = [&](int number) {
         m_picker.report(addressOf(number),
             { .running = 0,
                 .waiting = 0,
@@ -246,20 +247,20 @@
                 .isOpen = false },
             m_now);
     };
-    tell(1);
-    tell(2);
+    report(1);
+    report(2);
     auto asked = request(llm);
-    asked.excluded = { { idOf(3), {} } }; // Of which it is not known that it belongs to the group.
+    asked.excluded = { { idOf(3), {} } }; // Not known yet to belong to the group.
     EXPECT_GT(refusalOf(asked).expectedOpenAt, m_now + 2s) << "one rank is missing";
-    tell(3);
+    report(3);
     EXPECT_LT(refusalOf(request(llm)).expectedOpenAt, m_now + 1s);
     m_now += 1s;
-    tell(1);
-    tell(2);
-    EXPECT_GT(refusalOf(request(llm)).expectedOpenAt, m_now + 2s) << "the third is not heard";
+    report(1);
+    report(2);
+    EXPECT_GT(refusalOf(request(llm)).expectedOpenAt, m_now + 2s) << "the third rank does not report";
 }
 
-TEST_F(backend_picker_test, TheLengthOfOutagesIsLearnt)
+TEST_F(backend_picker_test, OutageLengthIsLearnt)
 {
     use(llm, 2);
     for (int outage = 0; outage < 6; ++outage) {
@@ -272,7 +273,7 @@
     EXPECT_LT(refusalOf(request(llm)).expectedOpenAt, m_now + 1500ms);
 }
 
-TEST_F(backend_picker_test, AGroupThatIsReportedBrokenAgainAndAgainStaysRefused)
+TEST_F(backend_picker_test, RepeatedReportsKeepAGroupBroken)
 {
     use(llm, 3);
     for (int i = 0; i < 60; ++i) {
@@ -282,7 +283,7 @@
     EXPECT_FALSE(m_picker.pick(request(llm), m_now));
 }
 
-TEST_F(backend_picker_test, AnOldReportOfABrokenGroupIsNotBelievedForever)
+TEST_F(backend_picker_test, ReportOfABrokenGroupExpires)
 {
     use(llm, 3);
     reportAll(1, 0, false);
@@ -290,8 +291,8 @@
     EXPECT_TRUE(m_picker.pick(request(llm), m_now + 5s));
 }
 
-// Two groups serve one deployment: what stops one leaves the other to be used.
-TEST_F(backend_picker_test, OneBrokenGroupOfADeploymentLeavesTheOther)
+// Two groups serve one deployment: a failure in one must not stop requests to the other.
+TEST_F(backend_picker_test, OtherGroupOfADeploymentIsUsedWhileOneIsBroken)
 {
     use(llm, 4);
     for (int i = 1; i <= 4; ++i) {
@@ -308,7 +309,7 @@
     EXPECT_FALSE(m_picker.isMoving(backend_instance { idOf(1), {} }, m_now));
 }
 
-TEST_F(backend_picker_test, AServerThatNamesAnotherAtFaultClosesItsGroup)
+TEST_F(backend_picker_test, ServerThatReportsAnotherRankAtFaultBreaksItsGroup)
 {
     use(llm, 3);
     reportAll(1, 0);
@@ -316,7 +317,7 @@
     EXPECT_EQ(refusalOf(request(llm)).reason, pick_refusal::GroupDown);
 }
 
-TEST_F(backend_picker_test, WhileAGroupIsBrokenNoneOfItsServersIsSuspected)
+TEST_F(backend_picker_test, ServersOfABrokenGroupAreNotEjected)
 {
     use(llm, 2);
     reportAll(1, 0, false);
@@ -329,7 +330,7 @@
     EXPECT_EQ(chosen.size(), 2U);
 }
 
-TEST_F(backend_picker_test, AServerThatBreaksExchangesIsLeftAloneAndTriedAgain)
+TEST_F(backend_picker_test, ServerThatBreaksExchangesIsEjectedAndUsedAgainLater)
 {
     use(plain, 2);
     m_picker.sent({ idOf(1), {} }, m_now);
@@ -346,7 +347,7 @@
     EXPECT_EQ(chosen.size(), 2U);
 }
 
-TEST_F(backend_picker_test, WithEveryServerSuspectedOneIsStillChosen)
+TEST_F(backend_picker_test, ServerIsChosenEvenIfAllAreEjected)
 {
     use(plain, 2);
     for (int i = 1; i <= 2; ++i) {
@@ -356,7 +357,7 @@
     EXPECT_TRUE(m_picker.pick(request(plain), m_now));
 }
 
-TEST_F(backend_picker_test, AServerThatFailsOftenGetsLess)
+TEST_F(backend_picker_test, ServerWithAHighFailureRateIsAvoided)
 {
     use(plain, 2);
     for (int i = 0; i < 20; ++i) {
@@ -370,8 +371,8 @@
         EXPECT_EQ(m_picker.pick(request(plain), m_now)->server.id, idOf(2));
 }
 
-// All servers were started anew; until they are registered, others answer at the addresses that are known.
-TEST_F(backend_picker_test, AServerWhoseAddressAnotherOneHasIsAskedNoMore)
+// All servers restart. Until they register anew, other servers answer at the known addresses.
+TEST_F(backend_picker_test, ReplacedServerGetsNoRequestsUntilItRegistersAnew)
 {
     use(plain, 2);
     m_picker.finished({ idOf(1), {} }, backend_outcome::Replaced, {}, m_now);
@@ -392,16 +393,16 @@
         restartAs(1);
     }
 
-    void restartAs(std::uint64_t life)
+    void restartAs(std::uint64_t number)
     {
-        m_servers[idOf(1)].life = backend_life(life);
+        m_servers[idOf(1)].life = backend_life(number);
         m_picker.setServers(m_servers, *m_catalogue);
     }
 
-    backend_instance instance(std::uint64_t life) const { return { idOf(1), backend_life(life) }; }
+    backend_instance instance(std::uint64_t number) const { return { idOf(1), backend_life(number) }; }
 };
 
-TEST_F(restarted_backend_test, NothingOfItsFormerLifeIsHeldAgainstIt)
+TEST_F(restarted_backend_test, StateOfTheEarlierIncarnationIsDiscarded)
 {
     m_picker.responseLoad(instance(1), 9, 9, m_now);
     for (int i = 0; i < 5; ++i) {
@@ -418,7 +419,7 @@
     EXPECT_EQ(picked->server.instance(), instance(2));
 }
 
-TEST_F(restarted_backend_test, NewsOfItsFormerLifeIsDropped)
+TEST_F(restarted_backend_test, UpdatesOfTheEarlierIncarnationAreIgnored)
 {
     restartAs(2);
     m_picker.sent(instance(2), m_now);
@@ -428,7 +429,7 @@
     EXPECT_EQ(m_picker.pick(request(plain), m_now)->load, 1);
 }
 
-TEST_F(restarted_backend_test, ItMayBeSentWhatItsFormerLifeWasSent)
+TEST_F(restarted_backend_test, ExclusionOfTheEarlierIncarnationDoesNotApply)
 {
     auto asked = request(plain);
     asked.excluded = { instance(1) };
@@ -437,7 +438,7 @@
     EXPECT_TRUE(m_picker.pick(asked, m_now));
 }
 
-TEST_F(restarted_backend_test, ItsOwnReportTellsOfTheRestartBeforeTheStoreDoes)
+TEST_F(restarted_backend_test, ReportOfARestartPrecedesTheStore)
 {
     m_picker.sent(instance(1), m_now);
     m_picker.report(addressOf(1), { .life = backend_life(2), .running = 0 }, m_now);
--- a/coltsfootbend/gateway/pass_model.h
+++ b/coltsfootbend/gateway/pass_model.h
@@ -1,32 +1,34 @@
 #pragma once
 
-// What an engine that advances in passes can be expected to take, from what the operator states of it and how long its
-// passes were lately. Predicts, decides nothing: see `gateway/backend_picker.h`.
+// Predicts the latency of an engine that runs requests in passes, from the operator's engine model and the recently
+// measured length of passes. Does not decide whether a request is sent: see `gateway/backend_picker.h`.
 //
-//     const pass_model model(engine, outlook.passMs());
-//     if (model.firstEvent(load) > latencyTarget) ...
+//     const pass_model model(engine, monitor.passMs());
+//     if (model.firstEventLatency(load) > latencyTarget) ...
 
 #include "coltsfootbend/gateway/catalogue.h"
 
 namespace coltsfootbend {
 
+// Latency model of one engine.
 class pass_model {
 public:
-    // `measuredPassMs`: 0 where it is not known. `engine` must outlive the model.
+    // `measuredPassMs`: recent length of a pass; 0 if unknown. `engine` must outlive the model.
     pass_model(const engine_model& engine, double measuredPassMs);
 
-    // Of a first event once a slot is free.
-    duration start() const;
-    // Of a first event at an engine that has `load` requests, those included that wait there.
-    duration firstEvent(double load) const;
-    // How many requests may run before passes take longer than the pause that callers accept; `gapTarget` is 0 where
-    // none is stated.
+    // Returns the time to the first event once a slot is free.
+    duration startLatency() const;
+    // Returns the time to the first event at an engine that has `load` requests, running and waiting ones together.
+    duration firstEventLatency(double load) const;
+    // Returns how many requests may run before passes take longer than `gapTarget`, the longest pause between events
+    // that callers accept; 0 if none is stated.
     double runningLimit(duration gapTarget) const;
 
 private:
     const engine_model& m_engine;
     const double m_measuredPassMs;
-    const double m_passMs; // No less than the model says of full slots.
+    // The measured length, but at least what the model predicts for full slots.
+    const double m_passMs;
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/pass_model_test.cpp
+++ b/coltsfootbend/gateway/pass_model_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-// Passes of 50 ms with full slots, and an answer of ten of them.
+// Returns an engine whose passes take 50 ms with full slots, and whose answers take ten passes.
 engine_model fourSlots()
 {
     engine_model engine;
@@ -19,21 +19,22 @@
     return engine;
 }
 
-TEST(PassModel, AFirstEventTakesTwoPassesWhileASlotIsFree)
+TEST(PassModel, FirstEventTakesTwoPassesWhileASlotIsFree)
 {
     const auto engine = fourSlots();
-    EXPECT_EQ(pass_model(engine, 0).firstEvent(3), 100ms);
-    EXPECT_EQ(pass_model(engine, 80).firstEvent(0), 160ms) << "passes were longer lately than the operator states";
+    EXPECT_EQ(pass_model(engine, 0).firstEventLatency(3), 100ms);
+    EXPECT_EQ(pass_model(engine, 80).firstEventLatency(0), 160ms)
+        << "recent passes took longer than the engine model states";
 }
 
-TEST(PassModel, WhoeverWaitsForASlotWaitsForItsShareOfAnAnswer)
+TEST(PassModel, EachRequestAheadAddsOneSlotIntervalToTheWait)
 {
     const auto engine = fourSlots();
-    EXPECT_EQ(pass_model(engine, 0).firstEvent(4), 100ms + 150ms);
-    EXPECT_EQ(pass_model(engine, 0).firstEvent(5), 100ms + 300ms);
+    EXPECT_EQ(pass_model(engine, 0).firstEventLatency(4), 100ms + 150ms);
+    EXPECT_EQ(pass_model(engine, 0).firstEventLatency(5), 100ms + 300ms);
 }
 
-TEST(PassModel, FewerRequestsRunWherePassesOutlastThePauseThatCallersAccept)
+TEST(PassModel, RunningLimitFallsWhenPassesExceedTheGapTarget)
 {
     const auto engine = fourSlots();
     EXPECT_EQ(pass_model(engine, 120).runningLimit(120ms), 3);
--- a/coltsfootbend/gateway/pick.cpp
+++ b/coltsfootbend/gateway/pick.cpp
@@ -9,7 +9,7 @@
         return "no_servers";
     case pick_refusal::GroupDown:
         return "group_down";
-    case pick_refusal::GroupStanding:
+    case pick_refusal::GroupStalled:
         return "group_standing";
     case pick_refusal::Resting:
         return "servers_resting";
--- a/coltsfootbend/gateway/pick.h
+++ b/coltsfootbend/gateway/pick.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// What is asked of `backend_picker` for a request, and what it answers: a server, or why there is none and when another
-// try makes sense.
+// Input and result of `backend_picker::pick`: the request, and either the chosen server or the reason for a refusal and
+// when a retry makes sense. Plain data: the rules are in `gateway/backend_picker.h`.
 //
-//     const pick_request asked { .deployment = id, .latencyTarget = 400ms, .deadline = deadline };
+//     const pick_request request { .deployment = id, .latencyTarget = 400ms, .deadline = deadline };
 
 #include "coltsfootbend/gateway/backend_directory.h"
 #include "coltsfootbend/limits/waiting_line.h"
@@ -13,72 +13,77 @@
 
 namespace coltsfootbend {
 
-// How a request that was sent to a backend server went.
+// Result of a request that was sent to a backend server.
 enum class backend_outcome {
-    Answered, // With a success.
-    Failed, // With an error of its own.
-    Busy, // It proved that it did not run the request.
+    Answered, // The server answered with a success.
+    Failed, // The server answered with an error.
+    Busy, // The server proved that it did not run the request.
     Replaced, // Another server answered at its address.
-    Broken, // The connection failed or the answer was not whole.
-    Silent, // Nothing came for too long.
-    Abandoned, // The caller left, which says nothing of the server.
+    Broken, // The connection failed or the answer was incomplete.
+    Silent, // The server sent nothing for too long.
+    Abandoned, // The caller left, which does not indicate a fault of the server.
 };
 
-// Why a request is not sent.
-// Callers keep to Retry-After up to this part of the time that they have left: a third.
-constexpr int mostHonouredPart = 3;
+// Callers wait for a Retry-After up to the remaining time to their deadline, divided by this.
+constexpr int retryAfterDivisor = 3;
 
+// Why a request is not sent.
 enum class pick_refusal {
-    NoServers, // None is registered, or all are leaving.
-    GroupDown, // The engines' group is broken; nobody can run it now.
-    GroupStanding, // The engines' group makes no passes, for a moment or because it is about to be found broken.
-    Resting, // All servers have asked to be left alone for a while.
-    Limited, // Servers take no more than they named, and that is in use.
-    Overloaded, // It could not be served in time.
+    NoServers, // No server is registered, or all are leaving.
+    GroupDown, // The engines' group is broken; no engine can run the request now.
+    GroupStalled, // The engines' group makes no passes: briefly, or because it is about to be reported as broken.
+    Resting, // All servers have asked for a backoff.
+    Limited, // All servers have stated a limit, and it is used up.
+    Overloaded, // The request could not be served in time.
 };
 
 const char* toString(pick_refusal);
 const char* toString(backend_outcome);
 
+// A request for which a server is to be chosen.
 struct pick_request {
     deployment_id deployment;
+    // Longest acceptable time to the first event or the answer.
     duration latencyTarget {};
-    // The longest pause between two events; 0 where none is stated.
+    // Longest acceptable pause between two events; 0 if none is stated.
     duration gapTarget {};
     // When the caller gives up.
     time_point deadline {};
-    // The caller was refused before, so it is late already and waits behind the others.
+    // The caller was refused before and retries. It is late already, so it is served after new callers.
     bool isReturning = false;
-    // Goes on with a stream that was begun, which has the first claim on a slot.
+    // Resumes a stream that has sent events already; goes before all other requests for a slot.
     bool isResumption = false;
-    // 0 comes first.
+    // 0 is the most urgent.
     std::uint32_t priority = 0;
-    // Where it stands among those that wait for limited servers; none while it does not wait.
+    // Position in the queue for limited servers; none while the request is not queued.
     std::optional<waiting_line::place> place;
-    // Servers that this request has been sent to.
+    // Servers that this request was sent to already.
     std::vector<backend_instance> excluded;
 };
 
+// The server that a request is to be sent to.
 struct picked_backend {
     backend_server server;
-    // Until the first event or the answer, as predicted.
+    // Expected time to the first event or the answer.
     duration predicted {};
-    // What the choice was made from, for the log.
+    // Load of the server in requests when it was chosen, for the log.
     double load = 0;
-    std::optional<duration> reportAge; // None while the server's load was never heard.
+    // Age of the load report; none if no report was received.
+    std::optional<duration> reportAge;
 };
 
+// A request for which no server was chosen.
 struct pick_refused {
     pick_refusal reason = pick_refusal::NoServers;
-    // After which another try makes sense; jittered.
+    // Time after which a retry makes sense; jittered.
     duration retryAfter {};
-    // For an overloaded or limited one: until the request could be sent.
+    // If overloaded or limited: time until the request could be sent.
     duration expectedWait {};
-    // For a limited one: between two requests that this gateway may send.
-    duration spacing {};
-    // What the first event would take once a slot is free.
+    // If limited: interval at which this gateway may send requests.
+    duration requestInterval {};
+    // Time to the first event once a slot is free.
     duration startLatency {};
-    // For a broken or standing group, and for resting servers: when the first is expected to take requests again.
+    // If a group is broken or stalled, or servers back off: when the first one is expected to accept requests again.
     time_point expectedOpenAt {};
 };
 
--- a/coltsfootbend/gateway/server_choice.cpp
+++ b/coltsfootbend/gateway/server_choice.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// To where the scores rise when `amount` is poured over the servers like water.
+// Returns the level to which the lowest scores rise when `amount` requests are distributed by water-filling: each
+// request goes to the server with the lowest score.
 double waterLevel(std::vector<double> scores, double amount)
 {
     std::sort(scores.begin(), scores.end());
@@ -23,11 +24,11 @@
 
 } // namespace
 
-// Each in proportion to what it takes of the unseen requests.
-std::size_t chooseServer(const std::vector<double>& scores, double unseen, double draw)
+// Chooses each server with a probability in proportion to the unreported requests that water-filling assigns to it.
+std::size_t chooseServer(const std::vector<double>& scores, double unreported, double uniform)
 {
-    const double level = waterLevel(scores, unseen);
-    double point = draw * unseen;
+    const double level = waterLevel(scores, unreported);
+    double point = uniform * unreported;
     for (std::size_t i = 0; i < scores.size(); ++i) {
         point -= std::max(0.0, level - scores[i]);
         if (point <= 0)
--- a/coltsfootbend/gateway/server_choice.h
+++ b/coltsfootbend/gateway/server_choice.h
@@ -1,18 +1,19 @@
 #pragma once
 
-// Which of several servers a gateway sends a request to, when other gateways send to the same ones and none sees what
-// the others send. With the same reports each of them would choose the server that looks emptiest, and bury it before
-// the next report says so. Deterministic. Not for what a server's score is made of: see `gateway/backend_picker.h`.
+// Chooses one of several servers when other gateways send to the same ones at the same time. All gateways have the same
+// reports, so if each chose the server that looks least loaded, that server would be overloaded before the next report
+// shows it. Deterministic. Does not compute the scores: see `gateway/backend_picker.h`.
 //
-//     const auto chosen = chooseServer(scores, unseenRequests, drawnBelowOne);
+//     const auto chosen = chooseServer(scores, unreportedRequests, randomBelowOne);
 
 #include <cstddef>
 #include <vector>
 
 namespace coltsfootbend {
 
-// `scores`: higher ones are worse; must not be empty. `unseen`: what all gateways send before the next report, at least
-// one. `draw`: from 0 to below 1. Returns an index. O(n log n).
-std::size_t chooseServer(const std::vector<double>& scores, double unseen, double draw);
+// Returns the index of the chosen server. `scores`: one per server in requests, lower is better; must not be empty.
+// `unreported`: requests that all gateways send before the next report, at least 1. `uniform`: a random number in
+// [0, 1). O(n log n).
+std::size_t chooseServer(const std::vector<double>& scores, double unreported, double uniform);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/waiting_policy.cpp
+++ b/coltsfootbend/gateway/waiting_policy.cpp
@@ -6,61 +6,66 @@
 
 namespace {
 
-// For a group that is about to open: no longer than it would take a caller to come back.
-constexpr std::chrono::milliseconds shortWait { 800 };
+// Longest wait of a new request for a broken group to open: about the time in which a refused caller would return.
+constexpr std::chrono::milliseconds maxNewRequestGroupWait { 800 };
 
-std::optional<time_point> onlyAfter(time_point needed, time_point limit)
+// Returns `limit` if the request can be sent before it.
+std::optional<time_point> limitIfLaterThan(time_point earliest, time_point limit)
 {
-    return needed < limit ? std::optional(limit) : std::nullopt;
+    return earliest < limit ? std::optional(limit) : std::nullopt;
 }
 
-// A clump of requests finds all slots taken, and at the end of each pass some become free. A new request that gets one
-// while it can still be served in time loses nothing; refused, it would be late for certain. One that is late already
-// may have no further try, so it waits as long as its caller does.
+// Holds a request for a free slot. After a burst all slots are taken, and some become free at the end of each pass. A
+// new request that gets one in time loses nothing, while a refusal would make it late. A returning request is late
+// already and its caller may not retry again, so it is held as long as the caller waits.
 std::optional<time_point> holdForSlot(const pick_refused& refused, const held_request& request, time_point now)
 {
     if (request.isReturning)
-        return onlyAfter(
+        return limitIfLaterThan(
             now + refused.expectedWait, std::min<time_point>(request.deadline, request.arrivedAt + callerGapLimit));
-    return onlyAfter(now, request.arrivedAt + request.latencyTarget - refused.startLatency);
+    return limitIfLaterThan(now, request.arrivedAt + request.latencyTarget - refused.startLatency);
 }
 
-// Servers that name a limit take one request now and then, and others may stand before this one: whoever would be late
-// by then is told at once when to come instead. Once begun, the wait goes on as long as it can end in time.
+// Holds a request for a permit. Limited servers accept requests at a low rate and others may be ahead in the queue, so
+// a request that would be late by then is refused at once with a retry time. A wait that has begun continues as long as
+// it can end in time.
 std::optional<time_point> holdForPermit(const pick_refused& refused, const held_request& request, time_point now)
 {
     const auto limit = request.isReturning ? std::min<time_point>(request.deadline, request.arrivedAt + callerGapLimit)
                                            : request.arrivedAt + request.latencyTarget - refused.startLatency;
-    return onlyAfter(request.isHeld ? now : now + refused.expectedWait, limit);
+    return limitIfLaterThan(request.isHeld ? now : now + refused.expectedWait, limit);
 }
 
-// Servers that turn everybody away say when they take requests again: whoever can still be served in time then is held,
-// everybody else is told at once when to come.
-std::optional<time_point> holdForRest(const pick_refused& refused, const held_request& request, time_point now)
+// Holds a request until servers in backoff accept requests again. They state when, so only a request that can still be
+// served in time then is held; others are refused at once with a retry time.
+std::optional<time_point> holdForBackoff(const pick_refused& refused, const held_request& request, time_point now)
 {
     const auto limit = std::min(request.deadline,
                            request.arrivedAt + (request.isReturning ? duration(callerGapLimit) : request.latencyTarget))
         - refused.startLatency;
-    return onlyAfter(std::max(now, refused.expectedOpenAt), limit);
+    return limitIfLaterThan(std::max(now, refused.expectedOpenAt), limit);
 }
 
-// A group that broke opens after seconds, when everybody comes back. Whoever arrives shortly before is held, so that it
-// does not come with that wave; whoever was refused before is held for as long as its caller waits. An outage beyond
-// the usual length is always expected to end in a moment, so that expectation ends no wait that was begun.
-std::optional<time_point> holdForGroup(const pick_refused& refused, const held_request& request, time_point now)
+// Holds a request for a broken group. The group opens after seconds, and then the refused callers return at the same
+// time. A new request that arrives shortly before is held, so that it does not add to that burst; a returning one is
+// held as long as its caller waits. An outage that exceeds the usual length is always expected to end soon, so this
+// estimate does not end a wait that has begun.
+std::optional<time_point> holdForBrokenGroup(const pick_refused& refused, const held_request& request, time_point now)
 {
-    const duration patience = request.isReturning ? callerGapLimit - refused.startLatency : duration(shortWait);
-    const auto limit = std::min<time_point>(request.deadline, request.arrivedAt + patience);
-    return onlyAfter(request.isHeld ? now : refused.expectedOpenAt, limit);
+    const duration maxWait
+        = request.isReturning ? callerGapLimit - refused.startLatency : duration(maxNewRequestGroupWait);
+    const auto limit = std::min<time_point>(request.deadline, request.arrivedAt + maxWait);
+    return limitIfLaterThan(request.isHeld ? now : refused.expectedOpenAt, limit);
 }
 
-// A group that stands may go on at any moment: engines themselves wait for a rank that is gone for a while before they
-// say so. Until then nobody can tell a caller when to come back, and one that was told too early is lost. Sent instead,
-// requests wait in a group that a rank has left, and most have no try left afterwards.
-std::optional<time_point> holdForVerdict(const pick_refused& refused, const held_request& request, time_point now)
+// Holds a request for a stalled group, which may continue at any moment or be reported as broken: engines wait for an
+// unreachable rank for some time before they report it. Until then no retry time can be estimated, and a caller that
+// returns too early is lost. A request that is sent into the group instead waits there, and most such requests have no
+// attempt left afterwards.
+std::optional<time_point> holdForStalledGroup(const pick_refused& refused, const held_request& request, time_point now)
 {
-    const duration patience = callerGapLimit - refused.startLatency;
-    return onlyAfter(now, std::min<time_point>(request.deadline, request.arrivedAt + patience));
+    const duration maxWait = callerGapLimit - refused.startLatency;
+    return limitIfLaterThan(now, std::min<time_point>(request.deadline, request.arrivedAt + maxWait));
 }
 
 } // namespace
@@ -73,11 +78,11 @@
     case pick_refusal::Limited:
         return holdForPermit(refused, request, now);
     case pick_refusal::Resting:
-        return holdForRest(refused, request, now);
-    case pick_refusal::GroupStanding:
-        return holdForVerdict(refused, request, now);
+        return holdForBackoff(refused, request, now);
+    case pick_refusal::GroupStalled:
+        return holdForStalledGroup(refused, request, now);
     case pick_refusal::GroupDown:
-        return holdForGroup(refused, request, now);
+        return holdForBrokenGroup(refused, request, now);
     case pick_refusal::NoServers:
         return std::nullopt;
     }
--- a/coltsfootbend/gateway/waiting_policy.h
+++ b/coltsfootbend/gateway/waiting_policy.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// Whether a request that cannot be sent now is worth holding, and until when. Each rule answers one pattern of load;
-// the figures beside them say why. Deterministic. Not for the choice of a server: see `gateway/backend_picker.h`.
+// Decides whether a request that cannot be sent now is held at the gateway or refused, and until when it is held. Each
+// reason for a refusal has a rule of its own. Deterministic. Does not choose a server: see `gateway/backend_picker.h`.
 //
 //     if (const auto until = holdUntil(refused, { .arrivedAt = arrived, .deadline = deadline, ... }, now))
-//         lookAgainBefore(*until);
+//         pickAgainBefore(*until);
 //     else
 //         refuse(refused.retryAfter);
 
@@ -14,20 +14,23 @@
 
 namespace coltsfootbend {
 
+// A request that may be held.
 struct held_request {
     time_point arrivedAt {};
+    // When the caller gives up.
     time_point deadline {};
+    // Longest acceptable time from arrival to the first event.
     duration latencyTarget {};
-    // It was refused before and is late already.
+    // The caller was refused before and retries, so it is late already.
     bool isReturning = false;
-    // It has been held here since it came.
+    // The request has been held since it arrived.
     bool isHeld = false;
 };
 
-// The longest that a caller of a stream waits without an event, less the way back to it: it leaves after two seconds.
+// Longest time a stream may go without an event. Callers leave after two seconds; the difference is the transfer time.
 constexpr std::chrono::milliseconds callerGapLimit { 1900 };
 
-// Returns until when the request may be held, none when it is to be refused at once. O(1).
+// Returns until when the request may be held, or none if it is to be refused now. O(1).
 std::optional<time_point> holdUntil(const pick_refused&, const held_request&, time_point now);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/waiting_policy_test.cpp
+++ b/coltsfootbend/gateway/waiting_policy_test.cpp
@@ -39,35 +39,35 @@
         .expectedOpenAt = openAt };
 }
 
-// A clump: all slots are taken for a pass or two.
-TEST(WaitingPolicy, ANewRequestWaitsForASlotWhileItCanStillBeInTime)
+// After a burst of requests all slots are taken for one or two passes.
+TEST(WaitingPolicy, NewRequestIsHeldForASlotWhileItCanMeetItsLatencyTarget)
 {
     EXPECT_EQ(holdUntil(overloaded(), newRequest(), start), start + 250ms);
     EXPECT_EQ(holdUntil(overloaded(), newRequest(), start + 240ms), start + 250ms);
     EXPECT_FALSE(holdUntil(overloaded(), newRequest(), start + 250ms));
 }
 
-TEST(WaitingPolicy, ANewRequestThatCannotBeInTimeIsRefusedAtOnce)
+TEST(WaitingPolicy, NewRequestThatCannotMeetItsLatencyTargetIsRefusedAtOnce)
 {
     auto refused = overloaded();
     refused.startLatency = 450ms;
     EXPECT_FALSE(holdUntil(refused, newRequest(), start));
 }
 
-TEST(WaitingPolicy, AReturningCallerWaitsAsLongAsItsPatienceLasts)
+TEST(WaitingPolicy, ReturningRequestIsHeldUpToTheCallerGapLimit)
 {
     EXPECT_EQ(holdUntil(overloaded(), returningRequest(), start), start + callerGapLimit);
     EXPECT_FALSE(holdUntil(overloaded(), returningRequest(), start + callerGapLimit - 100ms));
 }
 
-TEST(WaitingPolicy, ADeadlineEndsTheWait)
+TEST(WaitingPolicy, DeadlineEndsTheWait)
 {
     auto request = returningRequest();
     request.deadline = start + 300ms;
     EXPECT_EQ(holdUntil(overloaded(), request, start), start + 300ms);
 }
 
-TEST(WaitingPolicy, AGroupThatOpensWithinAMomentIsWaitedFor)
+TEST(WaitingPolicy, RequestIsHeldForAGroupThatOpensSoon)
 {
     EXPECT_TRUE(holdUntil(groupDown(start + 600ms), newRequest(), start));
     EXPECT_FALSE(holdUntil(groupDown(start + 900ms), newRequest(), start));
@@ -75,29 +75,30 @@
     EXPECT_FALSE(holdUntil(groupDown(start + 3s), returningRequest(), start));
 }
 
-// An outage that lasts longer than usual is expected to end half a second from any moment that one asks.
-TEST(WaitingPolicy, AWaitForAGroupIsNotEndedByItsOutageLastingLonger)
+// While an outage exceeds its usual length, every estimate says that it ends in another half second. If that ended the
+// wait, the request would be refused although it has been held all along.
+TEST(WaitingPolicy, ALaterOpeningEstimateDoesNotEndAWaitThatHasBegun)
 {
     auto request = returningRequest();
     ASSERT_TRUE(holdUntil(groupDown(start + 500ms), request, start));
     request.isHeld = true;
     EXPECT_EQ(holdUntil(groupDown(start + 2s), request, start + 1500ms),
         start + callerGapLimit - groupDown(start).startLatency)
-        << "its first event has to come before the caller leaves";
+        << "the first event has to arrive before the caller leaves";
     EXPECT_FALSE(holdUntil(groupDown(start + 2500ms), request, start + 2s));
 }
 
-// A group stands, as when a data centre has just been cut off: until engines say that it is broken, nobody knows when
-// to come back, and a caller comes back once.
-TEST(WaitingPolicy, AGroupThatStandsIsWaitedForWhileTheFirstEventCanStillCome)
+// A group is stalled when a data centre has just been cut off. Until its engines report it as broken, no retry time can
+// be estimated, and a caller that is refused retries only once.
+TEST(WaitingPolicy, RequestIsHeldForAStalledGroupWhileItsFirstEventCanBeInTime)
 {
     auto refused = groupDown(start + 10s);
-    refused.reason = pick_refusal::GroupStanding;
+    refused.reason = pick_refusal::GroupStalled;
     EXPECT_EQ(holdUntil(refused, newRequest(), start), start + callerGapLimit - refused.startLatency);
     EXPECT_FALSE(holdUntil(refused, newRequest(), start + callerGapLimit));
 }
 
-TEST(WaitingPolicy, WithoutServersNobodyWaits)
+TEST(WaitingPolicy, RequestIsRefusedAtOnceWithoutServers)
 {
     EXPECT_FALSE(holdUntil({ .reason = pick_refusal::NoServers }, returningRequest(), start));
 }
