--- a/coltsfootbend/gateway/crash_detector.cpp
+++ b/coltsfootbend/gateway/crash_detector.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// The connections of a crashed server break one after the other.
-constexpr std::chrono::milliseconds gatherFor { 30 };
+// Time to collect the requests that were at a server: the connections of a crashed server do not break all at once.
+constexpr std::chrono::milliseconds gatherTime { 30 };
 
 std::string describe(const backend_crash& crash)
 {
@@ -27,38 +27,38 @@
 } // namespace
 
 crash_detector::crash_detector(fiber_runtime& runtime, crash_witness& witness,
-    std::function<bool(const backend_server&)> isExpected, std::function<void(const backend_crash&)> report)
+    std::function<bool(const backend_server&)> isExpected, std::function<void(const backend_crash&)> onCrash)
     : m_runtime(runtime)
     , m_state(new shared_state {
-          .witness = witness, .inquiries = {}, .isExpected = std::move(isExpected), .report = std::move(report) })
+          .witness = witness, .suspected = {}, .isExpected = std::move(isExpected), .onCrash = std::move(onCrash) })
 {
 }
 
-void crash_detector::lost(const backend_server& server, const request_fingerprint& request)
+void crash_detector::onExchangeBroken(const backend_server& server, const request_fingerprint& request)
 {
-    // As it was known when it broke off: what crashes loses its registration as well, a little later.
+    // Checked now and not after the crash is confirmed: a crashed server loses its registration a little later, too.
     if (m_state->isExpected(server))
         return;
-    auto& found = m_state->inquiries[server.instance()];
-    found.requests.insert(request);
-    if (found.requests.size() > 1)
-        return; // It is being looked into.
-    found.server = server;
+    auto& suspect = m_state->suspected[server.instance()];
+    suspect.requests.insert(request);
+    if (suspect.requests.size() > 1)
+        return; // A fiber is checking the server already.
+    suspect.server = server;
     m_runtime.spawn(
-        [&runtime = m_runtime, state = m_state, instance = server.instance()] { inquire(runtime, state, instance); });
+        [&runtime = m_runtime, state = m_state, instance = server.instance()] { check(runtime, state, instance); });
 }
 
-void crash_detector::inquire(
+void crash_detector::check(
     fiber_runtime& runtime, const std::shared_ptr<shared_state>& state, const backend_instance& instance)
 {
-    runtime.sleepFor(gatherFor);
-    const bool hasEnded = state->witness.hasEnded(state->inquiries.at(instance).server);
-    const auto found = state->inquiries.extract(instance).mapped();
+    runtime.sleepFor(gatherTime);
+    const bool hasEnded = state->witness.hasEnded(state->suspected.at(instance).server);
+    const auto suspect = state->suspected.extract(instance).mapped();
     if (!hasEnded)
         return;
-    const backend_crash crash { .server = found.server, .requests = found.requests };
+    const backend_crash crash { .server = suspect.server, .requests = suspect.requests };
     logEvent(log_event::BackendCrashed, describe(crash));
-    state->report(crash);
+    state->onCrash(crash);
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/crash_detector.h
+++ b/coltsfootbend/gateway/crash_detector.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Finds out under which requests a backend server has crashed. A connection that breaks may mean a fault of the
-// network, of the answer, or of another rank of the group, so that a witness has to say whether the server has ended.
-// All requests that were lost with it are named, for nobody can tell from here which one it was. Not for servers that
-// fall silent, and not for judging requests: see `quarantine/crash_history.h`.
+// Detects crashes of backend servers and the requests that were at the server then. A broken connection may also mean a
+// fault of the network, of the answer, or of another rank of the group, so a witness has to confirm that the server has
+// ended. Reports all requests that were lost with the server, because a gateway cannot determine which one caused the
+// crash. Does not detect unresponsive servers and does not judge requests: see `quarantine/crash_history.h`.
 //
 //     crash_detector detector(runtime, witness, isLeaving, [](const backend_crash& crash) { ... });
-//     detector.lost(server, fingerprint);
+//     detector.onExchangeBroken(server, fingerprint);
 
 #include "coltsfootbend/gateway/crash_witness.h"
 #include "coltsfootbend/quarantine/request_fingerprint.h"
@@ -18,36 +18,40 @@
 
 namespace coltsfootbend {
 
+// A crashed server and this gateway's requests that were at it.
 struct backend_crash {
     backend_server server;
-    std::set<request_fingerprint> requests; // Those of this gateway that were at the server.
+    std::set<request_fingerprint> requests;
 };
 
 class crash_detector {
 public:
-    // `isExpected` holds for servers that leave as planned: what they cut off at their end is no sign of a crash.
+    // `isExpected`: returns true for servers that leave as planned; the exchanges that they break when they end do not
+    // indicate a crash. `onCrash`: receives each confirmed crash.
     crash_detector(fiber_runtime&, crash_witness&, std::function<bool(const backend_server&)> isExpected,
-        std::function<void(const backend_crash&)> report);
+        std::function<void(const backend_crash&)> onCrash);
 
-    // The exchange with `server` broke while it had the request. Reports soon, from a fiber of its own, if it crashed.
-    void lost(const backend_server&, const request_fingerprint&);
+    // Handles an exchange with `server` that broke while the server had the request. Returns at once; a confirmed crash
+    // is reported later from a fiber of its own.
+    void onExchangeBroken(const backend_server&, const request_fingerprint&);
 
 private:
-    struct inquiry {
+    // A server whose exchanges broke, until its end is confirmed or ruled out.
+    struct suspected_crash {
         backend_server server;
         std::set<request_fingerprint> requests;
     };
     struct shared_state {
         crash_witness& witness;
-        std::map<backend_instance, inquiry> inquiries; // Each with a fiber that looks into it.
+        std::map<backend_instance, suspected_crash> suspected; // One fiber checks each entry.
         std::function<bool(const backend_server&)> isExpected;
-        std::function<void(const backend_crash&)> report;
+        std::function<void(const backend_crash&)> onCrash;
     };
 
-    static void inquire(fiber_runtime&, const std::shared_ptr<shared_state>&, const backend_instance&);
+    static void check(fiber_runtime&, const std::shared_ptr<shared_state>&, const backend_instance&);
 
     fiber_runtime& m_runtime;
-    std::shared_ptr<shared_state> m_state; // Fibers that still probe may outlive the detector.
+    std::shared_ptr<shared_state> m_state; // Shared with the checking fibers, which may outlive the detector.
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/crash_detector_test.cpp
+++ b/coltsfootbend/gateway/crash_detector_test.cpp
@@ -23,7 +23,7 @@
     const bool m_hasEnded;
 };
 
-// What the detector says once two requests are lost at a server.
+// Collects the crashes that the detector reports after two exchanges with a server broke.
 class crash_detector_test : public testing::Test {
 protected:
     void play(bool hasEnded, bool isLeaving)
@@ -36,8 +36,8 @@
                 crash_detector detector(
                     runtime, witness, [&](const backend_server&) { return isLeaving; },
                     [this](const backend_crash& crash) { m_crashes.push_back(crash); });
-                detector.lost(lost, first);
-                detector.lost(lost, second);
+                detector.onExchangeBroken(lost, first);
+                detector.onExchangeBroken(lost, second);
                 runtime.sleepFor(100ms);
                 runtime.stop();
             });
@@ -48,7 +48,7 @@
     std::vector<backend_crash> m_crashes;
 };
 
-TEST_F(crash_detector_test, NamesAllRequestsThatWereAtAServerThatCrashed)
+TEST_F(crash_detector_test, ReportsAllRequestsThatWereAtACrashedServer)
 {
     play(true, false);
     ASSERT_EQ(m_crashes.size(), 1U);
@@ -56,13 +56,13 @@
     EXPECT_EQ(m_crashes.front().requests, (std::set { first, second }));
 }
 
-TEST_F(crash_detector_test, AServerThatOnlyBrokeOffExchangesHasNotCrashed)
+TEST_F(crash_detector_test, BrokenExchangesAloneAreNoCrash)
 {
     play(false, false);
     EXPECT_TRUE(m_crashes.empty());
 }
 
-TEST_F(crash_detector_test, AServerThatLeftAsPlannedHasNotCrashed)
+TEST_F(crash_detector_test, PlannedEndOfAServerIsNoCrash)
 {
     play(true, true);
     EXPECT_TRUE(m_crashes.empty());
--- a/coltsfootbend/gateway/crash_witness.cpp
+++ b/coltsfootbend/gateway/crash_witness.cpp
@@ -8,23 +8,24 @@
 
 namespace {
 
-// Several round trips between the farthest data centres.
-constexpr std::chrono::milliseconds probeLimit { 300 };
-// For a new connection, the agent's own look, and its answer.
-constexpr std::chrono::milliseconds askLimit { 500 };
-// Those that do not answer may be gone with the server, frozen, or cut off themselves.
-constexpr std::size_t mostAsked = 3;
+// Time limit of this gateway's probe: several round trips between the data centres farthest apart.
+constexpr std::chrono::milliseconds probeTimeout { 300 };
+// Time limit for one agent: a new connection, the agent's own probe, and its answer.
+constexpr std::chrono::milliseconds agentTimeout { 500 };
+// An agent that does not answer may have terminated with the server, be frozen, or be cut off itself, so further agents
+// are asked.
+constexpr std::size_t maxAgentsAsked = 3;
 
 } // namespace
 
 bool peer_crash_witness::hasEnded(const backend_server& server)
 {
-    if (probePort(m_runtime, server.address, clock_type::now() + probeLimit) != port_state::Refused)
+    if (probePort(m_runtime, server.address, clock_type::now() + probeTimeout) != port_state::Refused)
         return false;
     const auto agents = m_agentsNear(server);
-    for (std::size_t i = 0; i < std::min(agents.size(), mostAsked); ++i) {
+    for (std::size_t i = 0; i < std::min(agents.size(), maxAgentsAsked); ++i) {
         const auto answer = m_peers.ask(
-            agents[i], wire::port_inquiry { .address = toString(server.address) }, clock_type::now() + askLimit);
+            agents[i], wire::port_inquiry { .address = toString(server.address) }, clock_type::now() + agentTimeout);
         const auto* finding = answer ? std::get_if<wire::port_finding>(&answer->content) : nullptr;
         if (finding && finding->isKnown)
             return finding->isRefused;
--- a/coltsfootbend/gateway/crash_witness_test.cpp
+++ b/coltsfootbend/gateway/crash_witness_test.cpp
@@ -13,23 +13,24 @@
 
 using namespace std::chrono_literals;
 
-// Tests run beside each other, each in a process of its own.
+// Tests run in parallel, each in its own process, so the address is derived from the process id.
 const std::string host
     = "127.45." + std::to_string(::getpid() / 250 % 250) + "." + std::to_string(::getpid() % 250 + 1);
 const endpoint agentAddress { host, 7400 };
-const endpoint deadAgent { host, 7401 };
+const endpoint unreachableAgent { host, 7401 };
 
-struct verdict {
+struct check_result {
     bool hasEnded = false;
     int asked = 0;
 };
 
-// A server that listens or not, and an agent that says what it found at the server's port.
-verdict judge(bool isListening, std::optional<wire::port_finding> finding, const std::vector<endpoint>& agents)
+// Runs the check against a server that listens or not, with one agent that answers `finding`, if given.
+check_result checkServer(
+    bool isListening, std::optional<wire::port_finding> finding, const std::vector<endpoint>& agents)
 {
-    std::promise<verdict> told;
+    std::promise<check_result> result;
     std::thread([&] {
-        // Fibers of the services wait for more: the process ends with them.
+        // Not deleted: fibers of the services run until the process ends.
         auto& runtime = *new fiber_runtime;
         runtime.spawn([&] {
             int asked = 0;
@@ -54,45 +55,45 @@
                 server->close();
             peer_crash_witness witness(runtime, peers->client(), [&](const backend_server&) { return agents; });
             const bool hasEnded = witness.hasEnded(lost);
-            told.set_value({ hasEnded, asked });
+            result.set_value({ hasEnded, asked });
             while (true)
                 runtime.sleepFor(1h);
         });
         runtime.run();
     }).detach();
-    return told.get_future().get();
+    return result.get_future().get();
 }
 
 constexpr wire::port_finding refused { .isKnown = true, .isRefused = true };
 constexpr wire::port_finding open { .isKnown = true, .isRefused = false };
 
-TEST(CrashWitness, AServerWhosePortRefusesItsAgentTooHasEnded)
+TEST(CrashWitness, ServerThatRefusesGatewayAndAgentHasEnded)
 {
-    EXPECT_TRUE(judge(false, refused, { agentAddress }).hasEnded);
+    EXPECT_TRUE(checkServer(false, refused, { agentAddress }).hasEnded);
 }
 
-// Seen from one VM, a partition that resets connections looks like the end of all servers beyond it: eleven engines
-// were taken for crashed in one moment, most of which other gateways still reached.
-TEST(CrashWitness, AServerThatItsAgentReachesHasNotEnded)
+// From a single VM, a partition that resets connections looks like the end of all servers beyond it. Without the
+// agents' answers, eleven engines were reported as crashed at once although other gateways still reached most of them.
+TEST(CrashWitness, ServerThatItsAgentReachesHasNotEnded)
 {
-    EXPECT_FALSE(judge(false, open, { agentAddress }).hasEnded);
+    EXPECT_FALSE(checkServer(false, open, { agentAddress }).hasEnded);
 }
 
-TEST(CrashWitness, AServerThatCanBeReachedFromHereIsNotAskedAbout)
+TEST(CrashWitness, ServerThatTheGatewayReachesIsNotAskedAbout)
 {
-    const auto found = judge(true, refused, { agentAddress });
+    const auto found = checkServer(true, refused, { agentAddress });
     EXPECT_FALSE(found.hasEnded);
     EXPECT_EQ(found.asked, 0);
 }
 
-TEST(CrashWitness, AnAgentThatDoesNotAnswerIsPassedOver)
+TEST(CrashWitness, NextAgentIsAskedWhenOneDoesNotAnswer)
 {
-    EXPECT_TRUE(judge(false, refused, { deadAgent, agentAddress }).hasEnded);
+    EXPECT_TRUE(checkServer(false, refused, { unreachableAgent, agentAddress }).hasEnded);
 }
 
-TEST(CrashWitness, NothingIsProvedWhereNoAgentCanTell)
+TEST(CrashWitness, EndIsNotConfirmedWhenNoAgentKnows)
 {
-    EXPECT_FALSE(judge(false, wire::port_finding {}, { agentAddress, deadAgent }).hasEnded);
+    EXPECT_FALSE(checkServer(false, wire::port_finding {}, { agentAddress, unreachableAgent }).hasEnded);
 }
 
 } // namespace
--- a/coltsfootbend/gateway/request_admission.cpp
+++ b/coltsfootbend/gateway/request_admission.cpp
@@ -11,22 +11,24 @@
 constexpr int statusUnauthorized = 401;
 constexpr int statusNotFound = 404;
 
-// For a route without a timeout and a caller without a deadline.
-constexpr std::chrono::seconds longestWait { 60 };
+// Timeout of requests on a route that configures none.
+constexpr std::chrono::seconds defaultTimeout { 60 };
 
-// By the request's id, so that the choice needs no random source and is the same when looked at again.
+// Chooses one of the route's deployments by weight. Uses a hash of the request's id, so that the choice needs no random
+// source and is the same for each attempt of a request.
 deployment_id chooseDeployment(const route& matched, const std::string& requestId)
 {
     const auto& split = matched.deployments;
     double sum = 0;
-    for (const auto& part : split)
-        sum += part.weight;
-    constexpr double range = 1e6;
-    double point = sum * static_cast<double>(stableHash(requestId) % static_cast<std::uint64_t>(range)) / range;
-    for (const auto& part : split) {
-        point -= part.weight;
+    for (const auto& weighted : split)
+        sum += weighted.weight;
+    constexpr double resolution = 1e6;
+    double point
+        = sum * static_cast<double>(stableHash(requestId) % static_cast<std::uint64_t>(resolution)) / resolution;
+    for (const auto& weighted : split) {
+        point -= weighted.weight;
         if (point < 0)
-            return part.deployment;
+            return weighted.deployment;
     }
     return split.back().deployment;
 }
@@ -47,7 +49,7 @@
         return tl::unexpected(refused_request {
             statusUnauthorized, { error_kind::Denied, "the key is missing or not known", "Send one valid key" } });
     }
-    const auto timeout = matched->timeout > duration::zero() ? matched->timeout : duration(longestWait);
+    const auto timeout = matched->timeout > duration::zero() ? matched->timeout : duration(defaultTimeout);
     return admitted_request { .matched = matched,
         .caller = caller,
         .deployment = chooseDeployment(*matched, facts.requestId),
--- a/coltsfootbend/gateway/request_admission.h
+++ b/coltsfootbend/gateway/request_admission.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What a caller's request is by the configuration: its route, its customer, the deployment that is to answer it and
-// until when; or why it is none. Deterministic. Not for whether a server can take it: see `gateway/backend_picker.h`.
+// Resolves a caller's request against the configuration: its route, customer, deployment and deadline, or the error to
+// answer with. Deterministic. Does not check whether a server can run the request: see `gateway/backend_picker.h`.
 //
 //     const auto admitted = admitRequest(*catalogue, request, facts, patience, now);
 //     if (!admitted) // answer admitted.error()
@@ -14,22 +14,24 @@
 
 namespace coltsfootbend {
 
-// Points into the catalogue by which it was admitted.
+// What the configuration says of a request. Points into the catalogue that admitted it.
 struct admitted_request {
     const route* matched = nullptr;
-    const customer* caller = nullptr; // Null without one, on open routes.
+    const customer* caller = nullptr; // Null for a request without a key on a public route.
     deployment_id deployment;
+    // When the caller gives up.
     time_point deadline {};
-    // The caller was refused before, as far as its patience tells.
+    // The caller was refused before and retries, as estimated from the time it has left.
     bool isReturning = false;
 };
 
+// The HTTP status and error to answer with.
 struct refused_request {
     int status = 0;
     error why;
 };
 
-// `arrivedAt`: from when on its time counts.
+// Returns the admitted request, or the error to answer with. `arrivedAt`: start of the request's timeout.
 tl::expected<admitted_request, refused_request> admitRequest(
     const catalogue&, const http_request&, const caller_facts&, patience_tracker&, time_point arrivedAt);
 
--- a/coltsfootbend/gateway/request_admission_test.cpp
+++ b/coltsfootbend/gateway/request_admission_test.cpp
@@ -38,7 +38,7 @@
     patience_tracker m_patience;
 };
 
-TEST_F(request_admission_test, WhoHasNoRouteOrNoKeyIsRefused)
+TEST_F(request_admission_test, RequestWithoutRouteOrKeyIsRefused)
 {
     EXPECT_EQ(admit("/elsewhere/", { .key = "good" }).error().status, 404);
     EXPECT_EQ(admit("/empty/", { .key = "good" }).error().status, 404);
@@ -48,14 +48,14 @@
     EXPECT_EQ(admit("/open/x", {})->caller, nullptr);
 }
 
-TEST_F(request_admission_test, TheShorterOfTheRoutesTimeAndTheCallersHolds)
+TEST_F(request_admission_test, DeadlineIsTheEarlierOfRouteTimeoutAndCallerTimeLeft)
 {
     EXPECT_EQ(admit("/open/x", {})->deadline, start + 3s);
     EXPECT_EQ(admit("/open/x", { .timeLeft = 1s })->deadline, start + 1s);
     EXPECT_EQ(admit("/open/x", { .timeLeft = 9s })->deadline, start + 3s);
 }
 
-TEST_F(request_admission_test, RequestsAreSplitByWeightAndEachAlwaysTheSameWay)
+TEST_F(request_admission_test, DeploymentIsChosenByWeightAndStableForARequestId)
 {
     int toNew = 0;
     for (int i = 0; i < 1000; ++i) {
--- a/coltsfootbend/gateway/request_quarantine.cpp
+++ b/coltsfootbend/gateway/request_quarantine.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// Whoever was at so many crashes is tried by one server an attempt: the next one may be the proof, and a second one may
-// take another group along.
-constexpr std::size_t crashesToBeCareful = 1;
+// A request that was at this many crashes is sent to only one server per attempt: its next crash may already prove it
+// responsible, and sending it to a second server may crash another group.
+constexpr std::size_t crashesToStopResending = 1;
 
-server_life lifeOf(const backend_server& server)
+server_life incarnationOf(const backend_server& server)
 {
     const auto& id = server.id.text();
     return server_life(server.life.isNone() ? id : id + "@" + std::to_string(server.life.number()));
@@ -24,7 +24,7 @@
 request_quarantine::request_quarantine(fiber_runtime& runtime, crash_witness& witness,
     std::function<bool(const backend_server&)> isExpected,
     std::function<void(const std::vector<crash_record>&)> publish)
-    : m_detector(runtime, witness, std::move(isExpected), [this](const backend_crash& crash) { noteCrash(crash); })
+    : m_detector(runtime, witness, std::move(isExpected), [this](const backend_crash& crash) { onCrash(crash); })
     , m_publish(std::move(publish))
 {
 }
@@ -36,23 +36,23 @@
 
 bool request_quarantine::maySendOn(const request_fingerprint& request) const
 {
-    return m_history.crashes(request) < crashesToBeCareful;
+    return m_history.crashes(request) < crashesToStopResending;
 }
 
 void request_quarantine::lost(const backend_server& server, const request_fingerprint& request)
 {
-    m_detector.lost(server, request);
+    m_detector.onExchangeBroken(server, request);
 }
 
-void request_quarantine::noteCrash(const backend_crash& crash)
+void request_quarantine::onCrash(const backend_crash& crash)
 {
     const auto now = clock_type::now();
     std::vector<crash_record> records;
     for (const auto& request : crash.requests)
-        records.push_back({ .request = request, .server = lifeOf(crash.server), .at = now });
-    const auto news = m_history.add(records, now);
+        records.push_back({ .request = request, .server = incarnationOf(crash.server), .at = now });
+    const auto added = m_history.add(records, now);
     review();
-    m_publish(news);
+    m_publish(added);
 }
 
 void request_quarantine::answered(const request_fingerprint& request)
@@ -77,15 +77,15 @@
                 + " crashes=" + std::to_string(m_history.crashes(request)));
     };
     for (const auto& [request, verdict] : verdicts) {
-        const auto logged = m_logged.find(request);
-        if (logged == m_logged.end() || logged->second != verdict)
+        const auto logged = m_loggedVerdicts.find(request);
+        if (logged == m_loggedVerdicts.end() || logged->second != verdict)
             log(request, verdict);
     }
-    for (const auto& [request, verdict] : m_logged) {
+    for (const auto& [request, verdict] : m_loggedVerdicts) {
         if (!verdicts.contains(request))
             log(request, "no");
     }
-    m_logged = std::move(verdicts);
+    m_loggedVerdicts = std::move(verdicts);
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/request_quarantine.h
+++ b/coltsfootbend/gateway/request_quarantine.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// Keeps requests that crash backend servers away from them, at one gateway: notes who was at a server that crashed, and
-// takes what others have noted. Requests that are done well are cleared. Not for servers that fail by themselves: see
-// `gateway/backend_picker.h`.
+// Keeps requests that crash backend servers away from them, at one gateway: records which requests were at a server
+// that crashed, merges the records of other VMs, and clears requests that complete. Does not handle servers that fail
+// for other reasons: see `gateway/backend_picker.h`.
 //
-//     if (const auto until = quarantine.refusedUntil(fingerprint, now)) // answer that it is not run
+//     if (const auto until = quarantine.refusedUntil(fingerprint, now)) // answer that the request is not run
 //     quarantine.lost(server, fingerprint);
 
 #include "coltsfootbend/gateway/crash_detector.h"
@@ -18,38 +18,40 @@
 
 namespace coltsfootbend {
 
+// The requests that one gateway refuses because they are suspected to crash servers.
 class request_quarantine {
 public:
-    // `isExpected`: as for the detector. `publish` is handed what this gateway has found itself.
+    // `isExpected`: true for servers that end as planned, see `crash_detector`. `publish`: receives the records that
+    // this gateway has added.
     request_quarantine(fiber_runtime&, crash_witness&, std::function<bool(const backend_server&)> isExpected,
         std::function<void(const std::vector<crash_record>&)> publish);
     request_quarantine(const request_quarantine&) = delete;
     request_quarantine& operator=(const request_quarantine&) = delete;
 
-    // False while no request is suspected, so that nobody has to work out fingerprints.
+    // Returns false while no request is suspected, so that no fingerprints need to be computed.
     bool isActive() const { return !m_history.isEmpty(); }
-    // None for a request that may be sent to a server.
+    // Returns until when the request must not be sent to a server; none if it may be sent.
     std::optional<time_point> refusedUntil(const request_fingerprint&, time_point now) const;
-    // True when a request that has just been lost at a server may be sent to another one for the same attempt.
+    // Returns true if a request that was lost at a server may be sent to another one within the same attempt.
     bool maySendOn(const request_fingerprint&) const;
 
     // The exchange with `server` broke while it had the request.
     void lost(const backend_server&, const request_fingerprint&);
-    // The request was run to a good end.
+    // A server ran the request successfully.
     void answered(const request_fingerprint&);
 
-    // What is known here and elsewhere. Call `review` after each change.
+    // Returns the records of this gateway and of other VMs. Call `review` after each change.
     crash_history& history() { return m_history; }
-    // Tells of verdicts that have changed.
+    // Logs the verdicts that have changed since the last call.
     void review();
 
 private:
-    void noteCrash(const backend_crash&);
+    void onCrash(const backend_crash&);
 
     crash_history m_history;
     crash_detector m_detector;
     const std::function<void(const std::vector<crash_record>&)> m_publish;
-    std::map<request_fingerprint, std::string> m_logged; // The verdict of each as it was told last.
+    std::map<request_fingerprint, std::string> m_loggedVerdicts;
 };
 
 } // namespace coltsfootbend
