--- a/coltsfootbend/gateway/crash_detector.cpp
+++ b/coltsfootbend/gateway/crash_detector.cpp
@@ -26,11 +26,11 @@
 
 } // namespace
 
-crash_detector::crash_detector(fiber_runtime& runtime, crash_witness& witness,
+crash_detector::crash_detector(fiber_runtime& runtime, crash_verifier& verifier,
     std::function<bool(const backend_server&)> isExpected, std::function<void(const backend_crash&)> onCrash)
     : m_runtime(runtime)
     , m_state(new shared_state {
-          .witness = witness, .suspected = {}, .isExpected = std::move(isExpected), .onCrash = std::move(onCrash) })
+          .verifier = verifier, .suspected = {}, .isExpected = std::move(isExpected), .onCrash = std::move(onCrash) })
 {
 }
 
@@ -52,9 +52,9 @@
     fiber_runtime& runtime, const std::shared_ptr<shared_state>& state, const backend_instance& instance)
 {
     runtime.sleepFor(gatherTime);
-    const bool hasEnded = state->witness.hasEnded(state->suspected.at(instance).server);
+    const bool hasTerminated = state->verifier.hasTerminated(state->suspected.at(instance).server);
     const auto suspect = state->suspected.extract(instance).mapped();
-    if (!hasEnded)
+    if (!hasTerminated)
         return;
     const backend_crash crash { .server = suspect.server, .requests = suspect.requests };
     logEvent(log_event::BackendCrashed, describe(crash));
--- a/coltsfootbend/gateway/crash_detector.h
+++ b/coltsfootbend/gateway/crash_detector.h
@@ -1,14 +1,14 @@
 #pragma once
 
 // Detects crashes of backend servers and the requests that were at the server then. A broken connection may also mean a
-// fault of the network, of the answer, or of another rank of the group, so a witness has to confirm that the server has
-// ended. Reports all requests that were lost with the server, because a gateway cannot determine which one caused the
-// crash. Does not detect unresponsive servers and does not judge requests: see `quarantine/crash_history.h`.
+// fault of the network, of the answer, or of another rank of the group, so a verifier has to confirm that the server
+// has terminated. Reports all requests that were lost with the server, because a gateway cannot determine which one
+// caused the crash. Does not detect unresponsive servers and does not judge requests: see `quarantine/crash_history.h`.
 //
-//     crash_detector detector(runtime, witness, isLeaving, [](const backend_crash& crash) { ... });
+//     crash_detector detector(runtime, verifier, isLeaving, [](const backend_crash& crash) { ... });
 //     detector.onExchangeBroken(server, fingerprint);
 
-#include "coltsfootbend/gateway/crash_witness.h"
+#include "coltsfootbend/gateway/crash_verifier.h"
 #include "coltsfootbend/quarantine/request_fingerprint.h"
 
 #include <functional>
@@ -26,9 +26,9 @@
 
 class crash_detector {
 public:
-    // `isExpected`: returns true for servers that leave as planned; the exchanges that they break when they end do not
-    // indicate a crash. `onCrash`: receives each confirmed crash.
-    crash_detector(fiber_runtime&, crash_witness&, std::function<bool(const backend_server&)> isExpected,
+    // `isExpected`: returns true for servers that leave as planned; the exchanges that they break when they terminate
+    // do not indicate a crash. `onCrash`: receives each confirmed crash.
+    crash_detector(fiber_runtime&, crash_verifier&, std::function<bool(const backend_server&)> isExpected,
         std::function<void(const backend_crash&)> onCrash);
 
     // Handles an exchange with `server` that broke while the server had the request. Returns at once; a confirmed crash
@@ -36,13 +36,13 @@
     void onExchangeBroken(const backend_server&, const request_fingerprint&);
 
 private:
-    // A server whose exchanges broke, until its end is confirmed or ruled out.
+    // A server whose exchanges broke, until its termination is confirmed or ruled out.
     struct suspected_crash {
         backend_server server;
         std::set<request_fingerprint> requests;
     };
     struct shared_state {
-        crash_witness& witness;
+        crash_verifier& verifier;
         std::map<backend_instance, suspected_crash> suspected; // One fiber checks each entry.
         std::function<bool(const backend_server&)> isExpected;
         std::function<void(const backend_crash&)> onCrash;
--- a/coltsfootbend/gateway/crash_detector_test.cpp
+++ b/coltsfootbend/gateway/crash_detector_test.cpp
@@ -11,13 +11,13 @@
 const request_fingerprint first("1");
 const request_fingerprint second("2");
 
-class model_witness final : public crash_witness {
+class fake_verifier final : public crash_verifier {
 public:
-    explicit model_witness(bool hasEnded)
-        : m_hasEnded(hasEnded)
+    explicit fake_verifier(bool hasTerminated)
+        : m_hasEnded(hasTerminated)
     {
     }
-    bool hasEnded(const backend_server&) override { return m_hasEnded; }
+    bool hasTerminated(const backend_server&) override { return m_hasEnded; }
 
 private:
     const bool m_hasEnded;
@@ -26,15 +26,15 @@
 // Collects the crashes that the detector reports after two exchanges with a server broke.
 class crash_detector_test : public testing::Test {
 protected:
-    void play(bool hasEnded, bool isLeaving)
+    void play(bool hasTerminated, bool isLeaving)
     {
         std::thread([&] {
             fiber_runtime runtime;
-            model_witness witness(hasEnded);
+            fake_verifier verifier(hasTerminated);
             runtime.spawn([&] {
                 const backend_server lost { .id = backend_id("b"), .address = { "127.0.0.1", 1 } };
                 crash_detector detector(
-                    runtime, witness, [&](const backend_server&) { return isLeaving; },
+                    runtime, verifier, [&](const backend_server&) { return isLeaving; },
                     [this](const backend_crash& crash) { m_crashes.push_back(crash); });
                 detector.onExchangeBroken(lost, first);
                 detector.onExchangeBroken(lost, second);
--- a/coltsfootbend/gateway/crash_witness.cpp
+++ b/coltsfootbend/gateway/crash_verifier.cpp
@@ -1,4 +1,4 @@
-#include "coltsfootbend/gateway/crash_witness.h"
+#include "coltsfootbend/gateway/crash_verifier.h"
 
 #include "coltsfootbend/net/port_probe.h"
 
@@ -18,7 +18,7 @@
 
 } // namespace
 
-bool peer_crash_witness::hasEnded(const backend_server& server)
+bool peer_crash_verifier::hasTerminated(const backend_server& server)
 {
     if (probePort(m_runtime, server.address, clock_type::now() + probeTimeout) != port_state::Refused)
         return false;
--- a/coltsfootbend/gateway/crash_witness_test.cpp
+++ b/coltsfootbend/gateway/crash_verifier_test.cpp
@@ -1,4 +1,4 @@
-#include "coltsfootbend/gateway/crash_witness.h"
+#include "coltsfootbend/gateway/crash_verifier.h"
 
 #include "coltsfootbend/metrics/metrics.h"
 
@@ -20,7 +20,7 @@
 const endpoint unreachableAgent { host, 7401 };
 
 struct check_result {
-    bool hasEnded = false;
+    bool hasTerminated = false;
     int asked = 0;
 };
 
@@ -53,9 +53,9 @@
             const backend_server lost { .id = backend_id("b"), .address = { "127.0.0.1", server->port() } };
             if (!isListening)
                 server->close();
-            peer_crash_witness witness(runtime, peers->client(), [&](const backend_server&) { return agents; });
-            const bool hasEnded = witness.hasEnded(lost);
-            result.set_value({ hasEnded, asked });
+            peer_crash_verifier verifier(runtime, peers->client(), [&](const backend_server&) { return agents; });
+            const bool hasTerminated = verifier.hasTerminated(lost);
+            result.set_value({ hasTerminated, asked });
             while (true)
                 runtime.sleepFor(1h);
         });
@@ -67,33 +67,34 @@
 constexpr wire::port_finding refused { .isKnown = true, .isRefused = true };
 constexpr wire::port_finding open { .isKnown = true, .isRefused = false };
 
-TEST(CrashWitness, ServerThatRefusesGatewayAndAgentHasEnded)
+TEST(CrashVerifier, ServerThatRefusesGatewayAndAgentHasTerminated)
 {
-    EXPECT_TRUE(checkServer(false, refused, { agentAddress }).hasEnded);
+    EXPECT_TRUE(checkServer(false, refused, { agentAddress }).hasTerminated);
 }
 
-// From a single VM, a partition that resets connections looks like the end of all servers beyond it. Without the
-// agents' answers, eleven engines were reported as crashed at once although other gateways still reached most of them.
-TEST(CrashWitness, ServerThatItsAgentReachesHasNotEnded)
+// From a single VM, a partition that resets connections looks like the termination of all servers beyond it. Without
+// the agents' answers, eleven engines were reported as crashed at once although other gateways still reached most of
+// them.
+TEST(CrashVerifier, ServerThatItsAgentReachesHasNotTerminated)
 {
-    EXPECT_FALSE(checkServer(false, open, { agentAddress }).hasEnded);
+    EXPECT_FALSE(checkServer(false, open, { agentAddress }).hasTerminated);
 }
 
-TEST(CrashWitness, ServerThatTheGatewayReachesIsNotAskedAbout)
+TEST(CrashVerifier, ServerThatTheGatewayReachesIsNotAskedAbout)
 {
     const auto found = checkServer(true, refused, { agentAddress });
-    EXPECT_FALSE(found.hasEnded);
+    EXPECT_FALSE(found.hasTerminated);
     EXPECT_EQ(found.asked, 0);
 }
 
-TEST(CrashWitness, NextAgentIsAskedWhenOneDoesNotAnswer)
+TEST(CrashVerifier, NextAgentIsAskedWhenOneDoesNotAnswer)
 {
-    EXPECT_TRUE(checkServer(false, refused, { unreachableAgent, agentAddress }).hasEnded);
+    EXPECT_TRUE(checkServer(false, refused, { unreachableAgent, agentAddress }).hasTerminated);
 }
 
-TEST(CrashWitness, EndIsNotConfirmedWhenNoAgentKnows)
+TEST(CrashVerifier, TerminationIsNotConfirmedWhenNoAgentKnows)
 {
-    EXPECT_FALSE(checkServer(false, wire::port_finding {}, { agentAddress, unreachableAgent }).hasEnded);
+    EXPECT_FALSE(checkServer(false, wire::port_finding {}, { agentAddress, unreachableAgent }).hasTerminated);
 }
 
 } // namespace
--- a/coltsfootbend/gateway/exchange_test.cpp
+++ b/coltsfootbend/gateway/exchange_test.cpp
@@ -168,8 +168,8 @@
 private:
     platform::request_headers m_dialect;
     metrics_service m_metrics;
-    class no_witness final : public crash_witness {
-        bool hasEnded(const backend_server&) override { return false; }
+    class no_witness final : public crash_verifier {
+        bool hasTerminated(const backend_server&) override { return false; }
     };
     no_witness m_witness;
     request_quarantine m_quarantine;
--- a/coltsfootbend/gateway/quarantine_network.h
+++ b/coltsfootbend/gateway/quarantine_network.h
@@ -45,7 +45,7 @@
     const std::function<bool(const backend_server&)> m_saidItLeaves;
     crash_archive* const m_archive;
     std::minstd_rand m_random { std::random_device {}() };
-    peer_crash_witness m_witness;
+    peer_crash_verifier m_witness;
     request_quarantine m_requests;
     datagram_crash_channel m_channel;
     crash_gossip m_gossip;
--- a/coltsfootbend/gateway/request_quarantine.cpp
+++ b/coltsfootbend/gateway/request_quarantine.cpp
@@ -21,10 +21,10 @@
 
 } // namespace
 
-request_quarantine::request_quarantine(fiber_runtime& runtime, crash_witness& witness,
+request_quarantine::request_quarantine(fiber_runtime& runtime, crash_verifier& verifier,
     std::function<bool(const backend_server&)> isExpected,
     std::function<void(const std::vector<crash_record>&)> publish)
-    : m_detector(runtime, witness, std::move(isExpected), [this](const backend_crash& crash) { onCrash(crash); })
+    : m_detector(runtime, verifier, std::move(isExpected), [this](const backend_crash& crash) { onCrash(crash); })
     , m_publish(std::move(publish))
 {
 }
--- a/coltsfootbend/gateway/request_quarantine.h
+++ b/coltsfootbend/gateway/request_quarantine.h
@@ -21,9 +21,9 @@
 // The requests that one gateway refuses because they are suspected to crash servers.
 class request_quarantine {
 public:
-    // `isExpected`: true for servers that end as planned, see `crash_detector`. `publish`: receives the records that
-    // this gateway has added.
-    request_quarantine(fiber_runtime&, crash_witness&, std::function<bool(const backend_server&)> isExpected,
+    // `isExpected`: true for servers that terminate as planned, see `crash_detector`. `publish`: receives the records
+    // that this gateway has added.
+    request_quarantine(fiber_runtime&, crash_verifier&, std::function<bool(const backend_server&)> isExpected,
         std::function<void(const std::vector<crash_record>&)> publish);
     request_quarantine(const request_quarantine&) = delete;
     request_quarantine& operator=(const request_quarantine&) = delete;
