--- a/coltsfootbend/gateway/asking_servers_test.cpp
+++ b/coltsfootbend/gateway/asking_servers_test.cpp
@@ -91,7 +91,7 @@
     limit(1, 1);
     limit(2, 1);
     auto usual = request(5);
-    EXPECT_EQ(m_picker.pick(usual, m_now).error().reason, pick_refusal::Limited);
+    EXPECT_EQ(m_picker.pick(usual, m_now).error().reason, refusal_reason::Limited);
     usual.place = m_picker.lineOf(service).join(5);
     auto urgent = request(1);
     urgent.place = m_picker.lineOf(service).join(1);
@@ -131,7 +131,7 @@
 
 TEST_F(asking_servers_test, AWaitForAPermitThatWasBegunGoesOnAsLongAsItCanEndInTime)
 {
-    const pick_refused refused { .reason = pick_refusal::Limited, .retryAfter = 1s, .expectedWait = 600ms };
+    const refused_pick refused { .reason = refusal_reason::Limited, .retryAfter = 1s, .expectedWait = 600ms };
     held_request held { .arrivedAt = m_now, .deadline = m_now + 8s, .latencyTarget = 400ms };
     EXPECT_FALSE(holdUntil(refused, held, m_now));
     held.isHeld = true;
@@ -159,7 +159,7 @@
     for (int i = 0; i < 50; ++i) {
         const auto refused = m_picker.pick(request(), m_now);
         ASSERT_FALSE(refused);
-        EXPECT_EQ(refused.error().reason, pick_refusal::Resting);
+        EXPECT_EQ(refused.error().reason, refusal_reason::Resting);
         EXPECT_EQ(refused.error().expectedOpenAt, m_now + 2s);
         EXPECT_GE(refused.error().retryAfter, 2s);
         returns.insert(refused.error().retryAfter);
@@ -170,7 +170,7 @@
 TEST_F(asking_servers_test, WhoeverCanStillBeServedInTimeWaitsForTheEndOfARest)
 {
     const held_request held { .arrivedAt = m_now, .deadline = m_now + 8s, .latencyTarget = 400ms };
-    pick_refused refused { .reason = pick_refusal::Resting, .startLatency = 100ms, .expectedOpenAt = m_now + 200ms };
+    refused_pick refused { .reason = refusal_reason::Resting, .startLatency = 100ms, .expectedOpenAt = m_now + 200ms };
     EXPECT_EQ(holdUntil(refused, held, m_now), m_now + 300ms);
     refused.expectedOpenAt = m_now + 310ms;
     EXPECT_FALSE(holdUntil(refused, held, m_now)) << "it would be late for certain";
--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -271,8 +271,8 @@
     return canAnyTake ? notEjected : all;
 }
 
-pick_refused backend_picker::refuse(
-    pick_refusal reason, duration wait, duration startLatency, const pick_request& request, time_point now)
+refused_pick backend_picker::refuse(
+    refusal_reason reason, duration wait, duration startLatency, const pick_request& request, time_point now)
 {
     const auto maxHonoured = std::max<duration>((request.deadline - now) / retryAfterDivisor, duration::zero());
     const auto jitteredWait = std::max<duration>(jittered(wait, m_random), minRetryAfter);
@@ -283,7 +283,7 @@
         .expectedOpenAt = {} };
 }
 
-pick_refused backend_picker::refuseForNoCandidates(const pick_request& request, time_point now)
+refused_pick backend_picker::refuseForNoCandidates(const pick_request& request, time_point now)
 {
     auto openAt = time_point::max();
     const backend_state* first = nullptr;
@@ -295,9 +295,9 @@
         first = &state;
     }
     if (!first)
-        return refuse(pick_refusal::NoServers, registrationTime, {}, request, now);
+        return refuse(refusal_reason::NoServers, registrationTime, {}, request, now);
     auto refused = refuse(
-        pick_refusal::Resting, openAt - now, startLatencyAt(*first, m_deployments[request.deployment]), request, now);
+        refusal_reason::Resting, openAt - now, startLatencyAt(*first, m_deployments[request.deployment]), request, now);
     refused.expectedOpenAt = openAt;
     // A retry before the backoff ends would be refused again, so the time exceeds it even if callers do not wait that
     // long. Jittered, so that callers do not retry at once.
@@ -305,7 +305,7 @@
     return refused;
 }
 
-pick_refused backend_picker::refuseForGroups(
+refused_pick backend_picker::refuseForGroups(
     const std::vector<backend_state*>& servers, const pick_request& request, time_point now)
 {
     std::optional<group_forecast> first;
@@ -320,7 +320,7 @@
         first = forecast;
         firstServer = state;
     }
-    auto refused = refuse(isStalled ? pick_refusal::GroupStalled : pick_refusal::GroupDown, first->openBy - now,
+    auto refused = refuse(isStalled ? refusal_reason::GroupStalled : refusal_reason::GroupDown, first->openBy - now,
         startLatencyAt(*firstServer, m_deployments[request.deployment]), request, now);
     refused.expectedOpenAt = first->openAt;
     // The time exceeds the expected outage even if callers do not wait that long: a caller retries once, so one that
@@ -382,7 +382,7 @@
         m_sendPermitRequest(server, *serial);
 }
 
-std::optional<pick_refused> backend_picker::keepPermitted(
+std::optional<refused_pick> backend_picker::keepPermitted(
     std::vector<backend_state*>& servers, const pick_request& request, time_point now)
 {
     requestPermit(servers, now);
@@ -399,7 +399,7 @@
     return std::nullopt;
 }
 
-pick_refused backend_picker::refuseForLimits(
+refused_pick backend_picker::refuseForLimits(
     const std::vector<backend_state*>& servers, std::size_t ahead, const pick_request& request, time_point now)
 {
     double permitsPerSecond = 0;
@@ -411,12 +411,12 @@
     const auto requestInterval = fromMilliseconds(1000 / std::max(permitsPerSecond, minPermitsPerSecond));
     auto& deployment = m_deployments[request.deployment];
     const auto wait = earliestPermitAt - now + static_cast<int>(ahead) * requestInterval;
-    auto refused = refuse(pick_refusal::Limited, wait, startLatencyAt(*servers.front(), deployment), request, now);
+    auto refused = refuse(refusal_reason::Limited, wait, startLatencyAt(*servers.front(), deployment), request, now);
     refused.requestInterval = requestInterval;
     return refused;
 }
 
-duration backend_picker::scheduleReturn(const pick_request& request, const pick_refused& refused, time_point now)
+duration backend_picker::scheduleReturn(const pick_request& request, const refused_pick& refused, time_point now)
 {
     if (refused.requestInterval <= duration::zero())
         return refused.retryAfter;
@@ -427,7 +427,7 @@
     return last - now;
 }
 
-tl::expected<picked_backend, pick_refused> backend_picker::pick(const pick_request& request, time_point now)
+tl::expected<picked_backend, refused_pick> backend_picker::pick(const pick_request& request, time_point now)
 {
     auto& deployment = m_deployments[request.deployment];
     auto usable = candidates(request, now);
@@ -451,7 +451,7 @@
         const bool mustYield = request.isReturning && mustYieldToNew(request, deployment, now);
         if (mustYield || (waiting > 0 && (isTooLate || wouldSlowOthers)))
             return tl::unexpected(
-                refuse(pick_refusal::Overloaded, predicted, startLatencyAt(chosen, deployment), request, now));
+                refuse(refusal_reason::Overloaded, predicted, startLatencyAt(chosen, deployment), request, now));
     }
     return picked_backend { .server = chosen.server,
         .predicted = predicted,
--- a/coltsfootbend/gateway/backend_picker.h
+++ b/coltsfootbend/gateway/backend_picker.h
@@ -76,11 +76,11 @@
     void responseLoad(const backend_instance&, std::uint32_t running, std::uint32_t waiting, time_point now);
 
     // Returns the server to send the request to, or why it is refused.
-    tl::expected<picked_backend, pick_refused> pick(const pick_request&, time_point now);
+    tl::expected<picked_backend, refused_pick> pick(const pick_request&, time_point now);
 
     // Returns after which time a refused caller should retry. If servers are limited, assigns each caller a retry time
     // of its own, because callers that retry at the same time would be refused again.
-    duration scheduleReturn(const pick_request&, const pick_refused&, time_point now);
+    duration scheduleReturn(const pick_request&, const refused_pick&, time_point now);
 
     // Records that a request was sent to the server.
     void sent(const backend_instance&, time_point now);
@@ -147,18 +147,18 @@
     const group_monitor* groupOf(const backend_state&) const;
     bool isMoving(const backend_state&, time_point now) const;
     // Refuses a request for which no group is open. States when the first group is expected to open.
-    pick_refused refuseForGroups(const std::vector<backend_state*>&, const pick_request&, time_point now);
+    refused_pick refuseForGroups(const std::vector<backend_state*>&, const pick_request&, time_point now);
     // Reduces `servers` to those of one stalled group that may be probed with this request. Returns false if there is
     // no such group.
     bool keepProbeTargets(std::vector<backend_state*>& servers, time_point now);
     // Reduces `servers` to those that may be sent one more request. Returns a refusal if all are limited and the
     // requests ahead in the queue use up the permits.
-    std::optional<pick_refused> keepPermitted(
+    std::optional<refused_pick> keepPermitted(
         std::vector<backend_state*>& servers, const pick_request&, time_point now);
     // Requests a permit for one of the servers that need one.
     void requestPermit(const std::vector<backend_state*>&, time_point now);
     // `ahead`: number of queued requests that get permits first.
-    pick_refused refuseForLimits(
+    refused_pick refuseForLimits(
         const std::vector<backend_state*>&, std::size_t ahead, const pick_request&, time_point now);
     // Returns the number of requests at the server: the last report plus later sends, or at least those in flight.
     double loadOf(const backend_state&, time_point now) const;
@@ -172,7 +172,7 @@
     pass_model passModelOf(const backend_state&, const engine_model&) const;
     // Builds a refusal. `wait`: time until the request could be sent. `startLatency`: time to its first event after
     // that.
-    pick_refused refuse(pick_refusal, duration wait, duration startLatency, const pick_request&, time_point now);
+    refused_pick refuse(refusal_reason, duration wait, duration startLatency, const pick_request&, time_point now);
     // Returns the expected time to the first event once a slot of the server is free.
     duration startLatencyAt(const backend_state&, const deployment_state&) const;
     backend_state& choose(const std::vector<backend_state*>&, const deployment_state&, time_point now);
@@ -182,7 +182,7 @@
     // Returns the servers that the request may be sent to, leaving aside their groups and permits.
     std::vector<backend_state*> candidates(const pick_request&, time_point now);
     // Refuses a request that has no candidates.
-    pick_refused refuseForNoCandidates(const pick_request&, time_point now);
+    refused_pick refuseForNoCandidates(const pick_request&, time_point now);
 
     const options m_options;
     std::minstd_rand m_random;
--- a/coltsfootbend/gateway/backend_picker_test.cpp
+++ b/coltsfootbend/gateway/backend_picker_test.cpp
@@ -58,7 +58,7 @@
     }
 
     // Returns the refusal of the request. Fails the test if it is not refused.
-    pick_refused refusalOf(const pick_request& request)
+    refused_pick refusalOf(const pick_request& request)
     {
         const auto picked = m_picker.pick(request, m_now);
         if (!picked)
@@ -78,7 +78,7 @@
 {
     const auto picked = m_picker.pick(request(llm), m_now);
     ASSERT_FALSE(picked);
-    EXPECT_EQ(picked.error().reason, pick_refusal::NoServers);
+    EXPECT_EQ(picked.error().reason, refusal_reason::NoServers);
     EXPECT_GT(picked.error().retryAfter, duration::zero());
 }
 
@@ -163,7 +163,7 @@
     reportAll(4, 6);
     const auto picked = m_picker.pick(request(llm), m_now);
     ASSERT_FALSE(picked);
-    EXPECT_EQ(picked.error().reason, pick_refusal::Overloaded);
+    EXPECT_EQ(picked.error().reason, refusal_reason::Overloaded);
     EXPECT_LE(picked.error().retryAfter, duration(8s) / 3);
 }
 
@@ -187,7 +187,7 @@
     stream.gapTarget = 120ms;
     const auto picked = m_picker.pick(stream, m_now);
     ASSERT_FALSE(picked);
-    EXPECT_EQ(picked.error().reason, pick_refusal::Overloaded);
+    EXPECT_EQ(picked.error().reason, refusal_reason::Overloaded);
 }
 
 TEST_F(backend_picker_test, ReturningCallersLeaveSlotsForNewOnes)
@@ -226,7 +226,7 @@
     reportAll(1, 0, false);
     const auto picked = m_picker.pick(request(llm), m_now);
     ASSERT_FALSE(picked);
-    EXPECT_EQ(picked.error().reason, pick_refusal::GroupDown);
+    EXPECT_EQ(picked.error().reason, refusal_reason::GroupDown);
     m_now += 100ms;
     reportAll(0, 0, true, 2);
     EXPECT_TRUE(m_picker.pick(request(llm), m_now));
@@ -314,7 +314,7 @@
     use(llm, 3);
     reportAll(1, 0);
     m_picker.groupFailed({ idOf(1), {} }, m_now);
-    EXPECT_EQ(refusalOf(request(llm)).reason, pick_refusal::GroupDown);
+    EXPECT_EQ(refusalOf(request(llm)).reason, refusal_reason::GroupDown);
 }
 
 TEST_F(backend_picker_test, ServersOfABrokenGroupAreNotEjected)
@@ -379,7 +379,7 @@
     for (int i = 0; i < 20; ++i)
         EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s)->server.id, idOf(2));
     m_picker.finished({ idOf(2), {} }, backend_outcome::Replaced, {}, m_now);
-    EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s).error().reason, pick_refusal::NoServers);
+    EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s).error().reason, refusal_reason::NoServers);
     m_servers[idOf(1)].life = backend_life(7);
     m_picker.setServers(m_servers, *m_catalogue);
     EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s)->server.id, idOf(1));
--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -156,7 +156,7 @@
         .excluded = m_excluded };
 }
 
-exchange::next_step exchange::refuse(const pick_refused& refused)
+exchange::next_step exchange::refuse(const refused_pick& refused)
 {
     if (m_begun) {
         if (awaitOpenGroup())
@@ -170,14 +170,14 @@
         .isReturning = m_returning,
         .isHeld = m_held };
     const auto until = holdUntil(refused, held, clock_type::now());
-    if (until && refused.reason == pick_refusal::Limited && !m_place)
+    if (until && refused.reason == refusal_reason::Limited && !m_place)
         m_place = m_context.picker.lineOf(m_deployment).join(priority());
     if (until && lookAgainBefore(*until)) {
         m_held = true;
         return next_step::TryAgain;
     }
     // The servers that were left out may be asked again rather than nobody.
-    if (refused.reason == pick_refusal::NoServers && !m_excluded.empty() && m_route->mayRepeat()
+    if (refused.reason == refusal_reason::NoServers && !m_excluded.empty() && m_route->mayRepeat()
         && m_sent < m_route->maxAttempts) {
         m_excluded.clear();
         return next_step::TryAgain;
--- a/coltsfootbend/gateway/exchange.h
+++ b/coltsfootbend/gateway/exchange.h
@@ -58,7 +58,7 @@
 
     bool admit();
     void loop();
-    next_step refuse(const pick_refused&);
+    next_step refuse(const refused_pick&);
     // Until when this request is kept from servers, which it crashes; none for almost all.
     std::optional<time_point> quarantinedUntil(time_point now);
     void refuseQuarantined(time_point now, time_point until);
--- a/coltsfootbend/gateway/pick.cpp
+++ b/coltsfootbend/gateway/pick.cpp
@@ -2,20 +2,20 @@
 
 namespace coltsfootbend {
 
-const char* toString(pick_refusal reason)
+const char* toString(refusal_reason reason)
 {
     switch (reason) {
-    case pick_refusal::NoServers:
+    case refusal_reason::NoServers:
         return "no_servers";
-    case pick_refusal::GroupDown:
+    case refusal_reason::GroupDown:
         return "group_down";
-    case pick_refusal::GroupStalled:
+    case refusal_reason::GroupStalled:
         return "group_standing";
-    case pick_refusal::Resting:
+    case refusal_reason::Resting:
         return "servers_resting";
-    case pick_refusal::Limited:
+    case refusal_reason::Limited:
         return "servers_limited";
-    case pick_refusal::Overloaded:
+    case refusal_reason::Overloaded:
         return "overloaded";
     }
     return "overloaded";
--- a/coltsfootbend/gateway/pick.h
+++ b/coltsfootbend/gateway/pick.h
@@ -28,7 +28,7 @@
 constexpr int retryAfterDivisor = 3;
 
 // Why a request is not sent.
-enum class pick_refusal {
+enum class refusal_reason {
     NoServers, // No server is registered, or all are leaving.
     GroupDown, // The engines' group is broken; no engine can run the request now.
     GroupStalled, // The engines' group makes no passes: briefly, or because it is about to be reported as broken.
@@ -37,7 +37,7 @@
     Overloaded, // The request could not be served in time.
 };
 
-const char* toString(pick_refusal);
+const char* toString(refusal_reason);
 const char* toString(backend_outcome);
 
 // A request for which a server is to be chosen.
@@ -73,8 +73,8 @@
 };
 
 // A request for which no server was chosen.
-struct pick_refused {
-    pick_refusal reason = pick_refusal::NoServers;
+struct refused_pick {
+    refusal_reason reason = refusal_reason::NoServers;
     // Time after which a retry makes sense; jittered.
     duration retryAfter {};
     // If overloaded or limited: time until the request could be sent.
--- a/coltsfootbend/gateway/waiting_policy.cpp
+++ b/coltsfootbend/gateway/waiting_policy.cpp
@@ -18,7 +18,7 @@
 // Holds a request for a free slot. After a burst all slots are taken, and some become free at the end of each pass. A
 // new request that gets one in time loses nothing, while a refusal would make it late. A returning request is late
 // already and its caller may not retry again, so it is held as long as the caller waits.
-std::optional<time_point> holdForSlot(const pick_refused& refused, const held_request& request, time_point now)
+std::optional<time_point> holdForSlot(const refused_pick& refused, const held_request& request, time_point now)
 {
     if (request.isReturning)
         return limitIfLaterThan(
@@ -29,7 +29,7 @@
 // Holds a request for a permit. Limited servers accept requests at a low rate and others may be ahead in the queue, so
 // a request that would be late by then is refused at once with a retry time. A wait that has begun continues as long as
 // it can end in time.
-std::optional<time_point> holdForPermit(const pick_refused& refused, const held_request& request, time_point now)
+std::optional<time_point> holdForPermit(const refused_pick& refused, const held_request& request, time_point now)
 {
     const auto limit = request.isReturning ? std::min<time_point>(request.deadline, request.arrivedAt + callerGapLimit)
                                            : request.arrivedAt + request.latencyTarget - refused.startLatency;
@@ -38,7 +38,7 @@
 
 // Holds a request until servers in backoff accept requests again. They state when, so only a request that can still be
 // served in time then is held; others are refused at once with a retry time.
-std::optional<time_point> holdForBackoff(const pick_refused& refused, const held_request& request, time_point now)
+std::optional<time_point> holdForBackoff(const refused_pick& refused, const held_request& request, time_point now)
 {
     const auto limit = std::min(request.deadline,
                            request.arrivedAt + (request.isReturning ? duration(callerGapLimit) : request.latencyTarget))
@@ -50,7 +50,7 @@
 // time. A new request that arrives shortly before is held, so that it does not add to that burst; a returning one is
 // held as long as its caller waits. An outage that exceeds the usual length is always expected to end soon, so this
 // estimate does not end a wait that has begun.
-std::optional<time_point> holdForBrokenGroup(const pick_refused& refused, const held_request& request, time_point now)
+std::optional<time_point> holdForBrokenGroup(const refused_pick& refused, const held_request& request, time_point now)
 {
     const duration maxWait
         = request.isReturning ? callerGapLimit - refused.startLatency : duration(maxNewRequestGroupWait);
@@ -62,7 +62,7 @@
 // unreachable rank for some time before they report it. Until then no retry time can be estimated, and a caller that
 // returns too early is lost. A request that is sent into the group instead waits there, and most such requests have no
 // attempt left afterwards.
-std::optional<time_point> holdForStalledGroup(const pick_refused& refused, const held_request& request, time_point now)
+std::optional<time_point> holdForStalledGroup(const refused_pick& refused, const held_request& request, time_point now)
 {
     const duration maxWait = callerGapLimit - refused.startLatency;
     return limitIfLaterThan(now, std::min<time_point>(request.deadline, request.arrivedAt + maxWait));
@@ -70,20 +70,20 @@
 
 } // namespace
 
-std::optional<time_point> holdUntil(const pick_refused& refused, const held_request& request, time_point now)
+std::optional<time_point> holdUntil(const refused_pick& refused, const held_request& request, time_point now)
 {
     switch (refused.reason) {
-    case pick_refusal::Overloaded:
+    case refusal_reason::Overloaded:
         return holdForSlot(refused, request, now);
-    case pick_refusal::Limited:
+    case refusal_reason::Limited:
         return holdForPermit(refused, request, now);
-    case pick_refusal::Resting:
+    case refusal_reason::Resting:
         return holdForBackoff(refused, request, now);
-    case pick_refusal::GroupStalled:
+    case refusal_reason::GroupStalled:
         return holdForStalledGroup(refused, request, now);
-    case pick_refusal::GroupDown:
+    case refusal_reason::GroupDown:
         return holdForBrokenGroup(refused, request, now);
-    case pick_refusal::NoServers:
+    case refusal_reason::NoServers:
         return std::nullopt;
     }
     return std::nullopt;
--- a/coltsfootbend/gateway/waiting_policy.h
+++ b/coltsfootbend/gateway/waiting_policy.h
@@ -31,6 +31,6 @@
 constexpr std::chrono::milliseconds callerGapLimit { 1900 };
 
 // Returns until when the request may be held, or none if it is to be refused now. O(1).
-std::optional<time_point> holdUntil(const pick_refused&, const held_request&, time_point now);
+std::optional<time_point> holdUntil(const refused_pick&, const held_request&, time_point now);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/waiting_policy_test.cpp
+++ b/coltsfootbend/gateway/waiting_policy_test.cpp
@@ -21,18 +21,18 @@
     return request;
 }
 
-pick_refused overloaded()
+refused_pick overloaded()
 {
-    return { .reason = pick_refusal::Overloaded,
+    return { .reason = refusal_reason::Overloaded,
         .retryAfter = 1s,
         .expectedWait = 160ms,
         .startLatency = 150ms,
         .expectedOpenAt = {} };
 }
 
-pick_refused groupDown(time_point openAt)
+refused_pick groupDown(time_point openAt)
 {
-    return { .reason = pick_refusal::GroupDown,
+    return { .reason = refusal_reason::GroupDown,
         .retryAfter = 1s,
         .expectedWait = openAt - start,
         .startLatency = 150ms,
@@ -93,14 +93,14 @@
 TEST(WaitingPolicy, RequestIsHeldForAStalledGroupWhileItsFirstEventCanBeInTime)
 {
     auto refused = groupDown(start + 10s);
-    refused.reason = pick_refusal::GroupStalled;
+    refused.reason = refusal_reason::GroupStalled;
     EXPECT_EQ(holdUntil(refused, newRequest(), start), start + callerGapLimit - refused.startLatency);
     EXPECT_FALSE(holdUntil(refused, newRequest(), start + callerGapLimit));
 }
 
 TEST(WaitingPolicy, RequestIsRefusedAtOnceWithoutServers)
 {
-    EXPECT_FALSE(holdUntil({ .reason = pick_refusal::NoServers }, returningRequest(), start));
+    EXPECT_FALSE(holdUntil({ .reason = refusal_reason::NoServers }, returningRequest(), start));
 }
 
 } // namespace
