--- a/coltsfootbend/gateway/asking_servers_test.cpp
+++ b/coltsfootbend/gateway/asking_servers_test.cpp
@@ -27,7 +27,7 @@
         for (int i = 1; i <= 2; ++i)
             servers[idOf(i)] = { idOf(i), service, { "10.0.0." + std::to_string(i), 80 }, {}, 4, false, {} };
         m_picker.setServers(servers, known);
-        m_picker.onPermitWish([this](const backend_server& server, std::uint64_t serial) {
+        m_picker.onPermitRequest([this](const backend_server& server, std::uint64_t serial) {
             m_wishes.insert(server.id);
             m_lastWish = serial;
         });
@@ -92,16 +92,16 @@
     limit(2, 1);
     auto usual = request(5);
     EXPECT_EQ(m_picker.pick(usual, m_now).error().reason, refusal_reason::Limited);
-    usual.place = m_picker.lineOf(service).join(5);
+    usual.place = m_picker.queueOf(service).join(5);
     auto urgent = request(1);
-    urgent.place = m_picker.lineOf(service).join(1);
+    urgent.place = m_picker.queueOf(service).join(1);
     (void)m_picker.pick(usual, m_now);
     (void)m_picker.pick(usual, m_now);
     m_picker.notices().grant(idOf(1), 1, m_now);
     m_picker.notices().grant(idOf(2), 1, m_now);
     EXPECT_FALSE(m_picker.pick(usual, m_now)) << "one permit, and somebody goes before";
     EXPECT_TRUE(m_picker.pick(urgent, m_now));
-    m_picker.lineOf(service).leave(*urgent.place);
+    m_picker.queueOf(service).leave(*urgent.place);
     EXPECT_TRUE(m_picker.pick(usual, m_now));
 }
 
--- a/coltsfootbend/gateway/backend_picker.h
+++ b/coltsfootbend/gateway/backend_picker.h
@@ -58,12 +58,12 @@
     backend_notices& notices() { return m_notices; }
 
     // Sets the function that sends a permit request for a limited server, with the request's serial number.
-    void onPermitWish(std::function<void(const backend_server&, std::uint64_t serial)> sendPermitRequest)
+    void onPermitRequest(std::function<void(const backend_server&, std::uint64_t serial)> sendPermitRequest)
     {
         m_sendPermitRequest = std::move(sendPermitRequest);
     }
     // Returns the queue of requests that wait for limited servers of `deployment`.
-    waiting_line& lineOf(const deployment_id& deployment) { return m_deployments[deployment].queue; }
+    waiting_line& queueOf(const deployment_id& deployment) { return m_deployments[deployment].queue; }
 
     // Sets the number of gateways that send to the same servers, including this one.
     void setGateways(std::uint32_t count) { m_gateways = std::max(1U, count); }
--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -68,7 +68,7 @@
 void exchange::leaveLine()
 {
     if (m_place)
-        m_context.picker.lineOf(m_deployment).leave(*m_place);
+        m_context.picker.queueOf(m_deployment).leave(*m_place);
     m_place.reset();
 }
 
@@ -171,7 +171,7 @@
         .isHeld = m_held };
     const auto until = holdUntil(refused, held, clock_type::now());
     if (until && refused.reason == refusal_reason::Limited && !m_place)
-        m_place = m_context.picker.lineOf(m_deployment).join(priority());
+        m_place = m_context.picker.queueOf(m_deployment).join(priority());
     if (until && lookAgainBefore(*until)) {
         m_held = true;
         return next_step::TryAgain;
--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -78,7 +78,7 @@
     m_permits
         = std::make_unique<permit_network>(m_runtime, m_settings.vm, m_context->picker.notices(), *m_agents, *m_news);
     m_permits->setGateways(m_gateways);
-    m_context->picker.onPermitWish(
+    m_context->picker.onPermitRequest(
         [this](const backend_server& server, std::uint64_t serial) { m_permits->ask(server, serial); });
     m_context->onNotice = [this](const backend_server& server) { m_permits->tell(server); };
     m_watch->onCatalogue([this](const catalogue_ptr& next) {
