--- a/coltsfootbend/gateway/asking_servers_test.cpp
+++ b/coltsfootbend/gateway/asking_servers_test.cpp
@@ -123,7 +123,7 @@
     EXPECT_TRUE(holdUntil(refused.error(), returning, m_now)) << "it is late already, and waits for longer";
     auto last = duration::zero();
     for (int i = 0; i < 3; ++i) {
-        const auto after = m_picker.scheduleReturn(request(), refused.error(), m_now);
+        const auto after = m_picker.scheduleRetry(request(), refused.error(), m_now);
         EXPECT_GE(after, last + (i > 0 ? 490ms : 0ms)) << "the servers take two a second";
         last = after;
     }
--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -416,14 +416,14 @@
     return refused;
 }
 
-duration backend_picker::scheduleReturn(const pick_request& request, const refused_pick& refused, time_point now)
+duration backend_picker::scheduleRetry(const pick_request& request, const refused_pick& refused, time_point now)
 {
     if (refused.requestInterval <= duration::zero())
         return refused.retryAfter;
-    auto& last = m_deployments[request.deployment].lastScheduledReturnAt;
+    auto& last = m_deployments[request.deployment].lastScheduledRetryAt;
     const auto maxHonoured = std::max<duration>((request.deadline - now) / retryAfterDivisor, minRetryAfter);
-    const auto returnAt = std::max(now + refused.retryAfter, last + refused.requestInterval);
-    last = std::min(returnAt, now + maxHonoured);
+    const auto retryAt = std::max(now + refused.retryAfter, last + refused.requestInterval);
+    last = std::min(retryAt, now + maxHonoured);
     return last - now;
 }
 
--- a/coltsfootbend/gateway/backend_picker.h
+++ b/coltsfootbend/gateway/backend_picker.h
@@ -80,7 +80,7 @@
 
     // Returns after which time a refused caller should retry. If servers are limited, assigns each caller a retry time
     // of its own, because callers that retry at the same time would be refused again.
-    duration scheduleReturn(const pick_request&, const refused_pick&, time_point now);
+    duration scheduleRetry(const pick_request&, const refused_pick&, time_point now);
 
     // Records that a request was sent to the server.
     void sent(const backend_instance&, time_point now);
@@ -135,7 +135,7 @@
         // Requests that wait for limited servers.
         waiting_line queue;
         // Latest retry time assigned to a caller that was refused because of limits.
-        time_point lastScheduledReturnAt {};
+        time_point lastScheduledRetryAt {};
     };
 
     // Returns null unless the server is known with this incarnation.
--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -191,7 +191,7 @@
     answer(statusUnavailable,
         { error_kind::Overloaded, std::string("not run: ") + toString(refused.reason),
             "Come back after the time in Retry-After" },
-        m_context.picker.scheduleReturn(pickRequest(), refused, clock_type::now()));
+        m_context.picker.scheduleRetry(pickRequest(), refused, clock_type::now()));
     return next_step::Finished;
 }
 
