--- a/coltsfootbend/gateway/asking_servers_test.cpp
+++ b/coltsfootbend/gateway/asking_servers_test.cpp
@@ -68,7 +68,7 @@
 TEST_F(asking_servers_test, ASuspectedServerIsAskedRatherThanNobodyWhereAllOthersAreLimited)
 {
     limit(1, 1);
-    m_picker.finished(lifeOf(2), backend_outcome::Broken, {}, m_now);
+    m_picker.onRequestFinished(lifeOf(2), backend_outcome::Broken, {}, m_now);
     const auto picked = m_picker.pick(request(), m_now);
     ASSERT_TRUE(picked);
     EXPECT_EQ(picked->server.id, idOf(2));
@@ -142,7 +142,7 @@
 TEST_F(asking_servers_test, ARestingServerIsPassedOverAlsoWhereAllOthersAreSuspected)
 {
     rest(1, 3s);
-    m_picker.finished(lifeOf(2), backend_outcome::Broken, {}, m_now);
+    m_picker.onRequestFinished(lifeOf(2), backend_outcome::Broken, {}, m_now);
     for (int i = 0; i < 20; ++i)
         EXPECT_EQ(m_picker.pick(request(), m_now)->server.id, idOf(2));
     EXPECT_TRUE(m_wishes.empty());
--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -90,7 +90,7 @@
     return found == m_backends.end() || found->second.server.life != instance.life ? nullptr : &found->second;
 }
 
-void backend_picker::report(const endpoint& address, const engine_report& report, time_point now)
+void backend_picker::receiveReport(const endpoint& address, const engine_report& report, time_point now)
 {
     for (auto& [id, state] : m_backends) {
         if (state.server.address != address || !enterIncarnation(state, report.life))
@@ -137,7 +137,7 @@
         [&](const auto& entry) { return isServing(entry.second, deployment, now) && isMoving(entry.second, now); });
 }
 
-void backend_picker::groupFailed(const backend_instance& server, time_point now)
+void backend_picker::onGroupFailed(const backend_instance& server, time_point now)
 {
     const auto* state = find(server);
     if (!state || !state->report)
@@ -161,7 +161,7 @@
     return statuses;
 }
 
-void backend_picker::responseLoad(
+void backend_picker::receiveResponseLoad(
     const backend_instance& server, std::uint32_t running, std::uint32_t waiting, time_point now)
 {
     auto* found = find(server);
@@ -204,11 +204,11 @@
         isReported = isReported && group && now > group->openSince() + reportSettleTime
             && now - state.reportedAt <= m_options.maxReportAge;
     }
-    if (inFlight < maxReturningSlotShare * slots / m_gateways)
+    if (inFlight < maxReturningSlotShare * slots / m_gatewayCount)
         return false;
     // Callers return to gateways unevenly, so another gateway may leave slots unused that this one needs; reports show
     // that. Judged by this gateway's share alone, requests would be refused while slots are free.
-    const double otherGateways = deployment.requestsPerSecond * (m_gateways - 1) * unreportedWindowSeconds;
+    const double otherGateways = deployment.requestsPerSecond * (m_gatewayCount - 1) * unreportedWindowSeconds;
     return !isReported || load + otherGateways >= maxReturningSlotShare * slots;
 }
 
@@ -343,7 +343,7 @@
 backend_picker::backend_state& backend_picker::choose(
     const std::vector<backend_state*>& usable, const deployment_state& deployment, time_point now)
 {
-    const double unreported = std::max(1.0, deployment.requestsPerSecond * m_gateways * unreportedWindowSeconds);
+    const double unreported = std::max(1.0, deployment.requestsPerSecond * m_gatewayCount * unreportedWindowSeconds);
     std::vector<double> scores;
     scores.reserve(usable.size());
     for (const auto* state : usable)
@@ -360,7 +360,7 @@
     if (found == servers.end())
         return false;
     const group_key probed { (*found)->server.deployment, (*found)->report->group };
-    m_groups.at(probed).onProbeSent(now + probeInterval * m_gateways);
+    m_groups.at(probed).onProbeSent(now + probeInterval * m_gatewayCount);
     std::erase_if(servers, [&](const auto* state) { return state->report->group != probed.group; });
     return true;
 }
@@ -459,7 +459,7 @@
         .reportAge = chosen.report ? std::optional<duration>(now - chosen.reportedAt) : std::nullopt };
 }
 
-void backend_picker::sent(const backend_instance& server, time_point now)
+void backend_picker::onRequestSent(const backend_instance& server, time_point now)
 {
     auto* state = find(server);
     if (!state)
@@ -469,7 +469,7 @@
     state->unreportedSentAt.push_back(now);
 }
 
-void backend_picker::finished(
+void backend_picker::onRequestFinished(
     const backend_instance& server, backend_outcome outcome, std::optional<duration> latency, time_point now)
 {
     auto* found = find(server);
--- a/coltsfootbend/gateway/backend_picker.h
+++ b/coltsfootbend/gateway/backend_picker.h
@@ -8,7 +8,10 @@
 //     backend_picker picker(options, seed);
 //     picker.setServers(directory.servers(), catalogue);
 //     auto choice = picker.pick({ .deployment = id, .latencyTarget = 400ms, ... }, now);
-//     if (choice) { picker.sent(choice->server.instance(), now); ...; picker.finished(..., outcome, latency, now); }
+//     if (choice)
+//         picker.onRequestSent(choice->server.instance(), now);
+//     ...
+//     picker.onRequestFinished(choice->server.instance(), outcome, latency, now);
 
 #include "coltsfootbend/gateway/backend_directory.h"
 #include "coltsfootbend/gateway/backend_notices.h"
@@ -66,14 +69,14 @@
     waiting_line& queueOf(const deployment_id& deployment) { return m_deployments[deployment].queue; }
 
     // Sets the number of gateways that send to the same servers, including this one.
-    void setGateways(std::uint32_t count) { m_gateways = std::max(1U, count); }
+    void setGatewayCount(std::uint32_t count) { m_gatewayCount = std::max(1U, count); }
 
     // Processes a report of the engine at `address`. Ignores a report of an earlier incarnation; a report of a newer
     // one resets all state of the server.
-    void report(const endpoint& address, const engine_report&, time_point now);
+    void receiveReport(const endpoint& address, const engine_report&, time_point now);
     // Processes the load that a response of the server stated. Has no effect unless the server is known with this
-    // incarnation; the same holds for `sent` and `finished`.
-    void responseLoad(const backend_instance&, std::uint32_t running, std::uint32_t waiting, time_point now);
+    // incarnation; the same holds for `onRequestSent` and `onRequestFinished`.
+    void receiveResponseLoad(const backend_instance&, std::uint32_t running, std::uint32_t waiting, time_point now);
 
     // Returns the server to send the request to, or why it is refused.
     tl::expected<picked_backend, refused_pick> pick(const pick_request&, time_point now);
@@ -83,12 +86,12 @@
     duration scheduleRetry(const pick_request&, const refused_pick&, time_point now);
 
     // Records that a request was sent to the server.
-    void sent(const backend_instance&, time_point now);
+    void onRequestSent(const backend_instance&, time_point now);
     // Records the outcome of a request. `latency`: time to the first byte of the answer, if there was one.
-    void finished(const backend_instance&, backend_outcome, std::optional<duration> latency, time_point now);
+    void onRequestFinished(const backend_instance&, backend_outcome, std::optional<duration> latency, time_point now);
 
     // Records that the server's answer reported another rank of its group as unreachable.
-    void groupFailed(const backend_instance&, time_point now);
+    void onGroupFailed(const backend_instance&, time_point now);
     // Returns true if the server belongs to no group, or to one that is making passes. O(ranks).
     bool isMoving(const backend_instance&, time_point now) const;
     // Returns true if a server of `deployment` accepts new work and its group, if any, is open. O(servers).
@@ -187,7 +190,7 @@
     const options m_options;
     std::minstd_rand m_random;
     backend_notices m_notices;
-    std::uint32_t m_gateways = 1;
+    std::uint32_t m_gatewayCount = 1;
     std::map<backend_id, backend_state> m_backends;
     std::map<deployment_id, deployment_state> m_deployments;
     std::map<group_key, group_monitor> m_groups;
--- a/coltsfootbend/gateway/backend_picker_test.cpp
+++ b/coltsfootbend/gateway/backend_picker_test.cpp
@@ -40,7 +40,7 @@
     void reportAll(std::uint32_t running, std::uint32_t waiting, bool isOpen = true, std::uint64_t epoch = 1)
     {
         for (int i = 1; i <= static_cast<int>(m_servers.size()); ++i) {
-            m_picker.report(addressOf(i),
+            m_picker.receiveReport(addressOf(i),
                 { .running = running,
                     .waiting = waiting,
                     .pace = 1,
@@ -95,7 +95,7 @@
 {
     use(llm, 2);
     reportAll(1, 0);
-    m_picker.report(addressOf(1),
+    m_picker.receiveReport(addressOf(1),
         { .running = 3, .waiting = 0, .pace = 1, .group = "g", .epoch = 1, .step = 10, .isOpen = true }, m_now);
     for (int i = 0; i < 20; ++i)
         EXPECT_EQ(m_picker.pick(request(llm), m_now)->server.id, idOf(2));
@@ -111,7 +111,7 @@
         gateways.push_back(
             std::make_unique<backend_picker>(backend_picker::options { .home = data_centre_id("here") }, 7919 * i + 1));
         gateways.back()->setServers(m_servers, *m_catalogue);
-        gateways.back()->setGateways(9);
+        gateways.back()->setGatewayCount(9);
     }
     std::map<backend_id, std::uint32_t> running;
     std::uint32_t most = 0;
@@ -122,7 +122,7 @@
                 auto& count = running[idOf(i)];
                 count = i == 1 ? 0 : count / 2 + 1;
                 for (auto& gateway : gateways)
-                    gateway->report(addressOf(i),
+                    gateway->receiveReport(addressOf(i),
                         { .running = count,
                             .waiting = 0,
                             .pace = 1,
@@ -137,8 +137,8 @@
         const auto picked = gateway.pick(this->request(llm), m_now);
         if (!picked)
             continue;
-        gateway.sent(picked->server.instance(), m_now);
-        gateway.finished(picked->server.instance(), backend_outcome::Abandoned, {}, m_now);
+        gateway.onRequestSent(picked->server.instance(), m_now);
+        gateway.onRequestFinished(picked->server.instance(), backend_outcome::Abandoned, {}, m_now);
         most = std::max(most, ++running[picked->server.id]);
     }
     EXPECT_LE(most, 9U) << "if each gateway chooses the least loaded server, 10 requests pile up";
@@ -151,7 +151,7 @@
     std::set<backend_id> chosen;
     for (int i = 0; i < 2; ++i) {
         const auto picked = m_picker.pick(request(llm), m_now);
-        m_picker.sent(picked->server.instance(), m_now);
+        m_picker.onRequestSent(picked->server.instance(), m_now);
         chosen.insert(picked->server.id);
     }
     EXPECT_EQ(chosen.size(), 2U);
@@ -194,7 +194,7 @@
 {
     use(llm, 3);
     reportAll(0, 0);
-    m_picker.setGateways(3);
+    m_picker.setGatewayCount(3);
     auto returning = request(llm);
     returning.isReturning = true;
     int taken = 0;
@@ -202,7 +202,7 @@
         const auto picked = m_picker.pick(returning, m_now);
         if (!picked)
             break;
-        m_picker.sent(picked->server.instance(), m_now);
+        m_picker.onRequestSent(picked->server.instance(), m_now);
     }
     EXPECT_EQ(taken, 4) << "80% of this gateway's share, a third of twelve slots, rounded up";
     EXPECT_TRUE(m_picker.pick(request(llm), m_now));
@@ -236,7 +236,7 @@
 {
     use(llm, 3);
     const auto report = [&](int number) {
-        m_picker.report(addressOf(number),
+        m_picker.receiveReport(addressOf(number),
             { .running = 0,
                 .waiting = 0,
                 .pace = 1,
@@ -296,7 +296,7 @@
 {
     use(llm, 4);
     for (int i = 1; i <= 4; ++i) {
-        m_picker.report(addressOf(i),
+        m_picker.receiveReport(addressOf(i),
             { .running = 1, .group = i <= 2 ? "g1" : "g2", .epoch = 1, .step = 10, .ranks = 2, .isOpen = i > 2 },
             m_now);
     }
@@ -313,7 +313,7 @@
 {
     use(llm, 3);
     reportAll(1, 0);
-    m_picker.groupFailed({ idOf(1), {} }, m_now);
+    m_picker.onGroupFailed({ idOf(1), {} }, m_now);
     EXPECT_EQ(refusalOf(request(llm)).reason, refusal_reason::GroupDown);
 }
 
@@ -322,7 +322,7 @@
     use(llm, 2);
     reportAll(1, 0, false);
     for (int i = 0; i < 3; ++i)
-        m_picker.finished({ idOf(1), {} }, backend_outcome::Broken, {}, m_now);
+        m_picker.onRequestFinished({ idOf(1), {} }, backend_outcome::Broken, {}, m_now);
     reportAll(0, 0, true, 2);
     std::set<backend_id> chosen;
     for (int i = 0; i < 50; ++i)
@@ -333,15 +333,15 @@
 TEST_F(backend_picker_test, ServerThatBreaksExchangesIsEjectedAndUsedAgainLater)
 {
     use(plain, 2);
-    m_picker.sent({ idOf(1), {} }, m_now);
-    m_picker.finished({ idOf(1), {} }, backend_outcome::Broken, {}, m_now);
+    m_picker.onRequestSent({ idOf(1), {} }, m_now);
+    m_picker.onRequestFinished({ idOf(1), {} }, backend_outcome::Broken, {}, m_now);
     for (int i = 0; i < 20; ++i)
         EXPECT_EQ(m_picker.pick(request(plain), m_now)->server.id, idOf(2));
     m_now += 1s;
     std::set<backend_id> chosen;
     for (int i = 0; i < 50; ++i) {
         const auto picked = m_picker.pick(request(plain), m_now);
-        m_picker.sent(picked->server.instance(), m_now);
+        m_picker.onRequestSent(picked->server.instance(), m_now);
         chosen.insert(picked->server.id);
     }
     EXPECT_EQ(chosen.size(), 2U);
@@ -351,8 +351,8 @@
 {
     use(plain, 2);
     for (int i = 1; i <= 2; ++i) {
-        m_picker.sent({ idOf(i), {} }, m_now);
-        m_picker.finished({ idOf(i), {} }, backend_outcome::Broken, {}, m_now);
+        m_picker.onRequestSent({ idOf(i), {} }, m_now);
+        m_picker.onRequestFinished({ idOf(i), {} }, backend_outcome::Broken, {}, m_now);
     }
     EXPECT_TRUE(m_picker.pick(request(plain), m_now));
 }
@@ -362,10 +362,10 @@
     use(plain, 2);
     for (int i = 0; i < 20; ++i) {
         m_now += 100ms;
-        m_picker.sent({ idOf(1), {} }, m_now);
-        m_picker.finished({ idOf(1), {} }, backend_outcome::Failed, 20ms, m_now);
-        m_picker.sent({ idOf(2), {} }, m_now);
-        m_picker.finished({ idOf(2), {} }, backend_outcome::Answered, 20ms, m_now);
+        m_picker.onRequestSent({ idOf(1), {} }, m_now);
+        m_picker.onRequestFinished({ idOf(1), {} }, backend_outcome::Failed, 20ms, m_now);
+        m_picker.onRequestSent({ idOf(2), {} }, m_now);
+        m_picker.onRequestFinished({ idOf(2), {} }, backend_outcome::Answered, 20ms, m_now);
     }
     for (int i = 0; i < 10; ++i)
         EXPECT_EQ(m_picker.pick(request(plain), m_now)->server.id, idOf(2));
@@ -375,10 +375,10 @@
 TEST_F(backend_picker_test, ReplacedServerGetsNoRequestsUntilItRegistersAnew)
 {
     use(plain, 2);
-    m_picker.finished({ idOf(1), {} }, backend_outcome::Replaced, {}, m_now);
+    m_picker.onRequestFinished({ idOf(1), {} }, backend_outcome::Replaced, {}, m_now);
     for (int i = 0; i < 20; ++i)
         EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s)->server.id, idOf(2));
-    m_picker.finished({ idOf(2), {} }, backend_outcome::Replaced, {}, m_now);
+    m_picker.onRequestFinished({ idOf(2), {} }, backend_outcome::Replaced, {}, m_now);
     EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s).error().reason, refusal_reason::NoServers);
     m_servers[idOf(1)].life = backend_life(7);
     m_picker.setServers(m_servers, *m_catalogue);
@@ -404,12 +404,12 @@
 
 TEST_F(restarted_backend_test, StateOfTheEarlierIncarnationIsDiscarded)
 {
-    m_picker.responseLoad(instance(1), 9, 9, m_now);
+    m_picker.receiveResponseLoad(instance(1), 9, 9, m_now);
     for (int i = 0; i < 5; ++i) {
-        m_picker.sent(instance(1), m_now);
-        m_picker.finished(instance(1), backend_outcome::Broken, std::nullopt, m_now);
+        m_picker.onRequestSent(instance(1), m_now);
+        m_picker.onRequestFinished(instance(1), backend_outcome::Broken, std::nullopt, m_now);
     }
-    m_picker.sent(instance(1), m_now);
+    m_picker.onRequestSent(instance(1), m_now);
     EXPECT_GT(m_picker.pick(request(plain), m_now)->load, 0);
     restartAs(2);
     const auto picked = m_picker.pick(request(plain), m_now);
@@ -422,10 +422,10 @@
 TEST_F(restarted_backend_test, UpdatesOfTheEarlierIncarnationAreIgnored)
 {
     restartAs(2);
-    m_picker.sent(instance(2), m_now);
-    m_picker.finished(instance(1), backend_outcome::Answered, 10ms, m_now);
-    m_picker.responseLoad(instance(1), 6, 6, m_now);
-    m_picker.report(addressOf(1), { .life = backend_life(1), .running = 7 }, m_now);
+    m_picker.onRequestSent(instance(2), m_now);
+    m_picker.onRequestFinished(instance(1), backend_outcome::Answered, 10ms, m_now);
+    m_picker.receiveResponseLoad(instance(1), 6, 6, m_now);
+    m_picker.receiveReport(addressOf(1), { .life = backend_life(1), .running = 7 }, m_now);
     EXPECT_EQ(m_picker.pick(request(plain), m_now)->load, 1);
 }
 
@@ -440,8 +440,8 @@
 
 TEST_F(restarted_backend_test, ReportOfARestartPrecedesTheStore)
 {
-    m_picker.sent(instance(1), m_now);
-    m_picker.report(addressOf(1), { .life = backend_life(2), .running = 0 }, m_now);
+    m_picker.onRequestSent(instance(1), m_now);
+    m_picker.receiveReport(addressOf(1), { .life = backend_life(2), .running = 0 }, m_now);
     restartAs(1);
     const auto picked = m_picker.pick(request(plain), m_now);
     ASSERT_TRUE(picked);
--- a/coltsfootbend/gateway/engine_report.h
+++ b/coltsfootbend/gateway/engine_report.h
@@ -2,7 +2,7 @@
 
 // What an engine told of itself, as gateways know it. Not for a rank's part in map changes: see `group/rank_engine.h`.
 //
-//     picker.report(address, { .running = 3, .group = "g", .epoch = 1, .step = 812, .ranks = 12 }, now);
+//     picker.receiveReport(address, { .running = 3, .group = "g", .epoch = 1, .step = 812, .ranks = 12 }, now);
 
 #include "coltsfootbend/gateway/backend_directory.h"
 
--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -243,7 +243,7 @@
     if (m_caller->gone)
         return next_step::TryAgain; // The loop ends it.
     if (!connection) {
-        m_context.picker.sent(server.instance(), clock_type::now());
+        m_context.picker.onRequestSent(server.instance(), clock_type::now());
         settle(picked, backend_outcome::Broken);
         logEvent(log_event::RequestFailed,
             label() + " backend=" + server.id.text() + " not_run=yes why=\"" + toString(connection.error()) + "\"");
@@ -268,7 +268,7 @@
     m_sentAt = now;
     m_excluded.push_back(server.instance());
     m_caller->connection = *connection;
-    m_context.picker.sent(server.instance(), now);
+    m_context.picker.onRequestSent(server.instance(), now);
     logEvent(m_sent == 1 ? log_event::RequestSent : log_event::RequestResumed,
         label() + " backend=" + server.id.text() + " attempt=" + std::to_string(m_sent)
             + " load=" + std::to_string(picked.load).substr(0, 5) + " report_age_ms="
@@ -299,7 +299,7 @@
     const auto facts = m_context.dialect.readBackend(*head);
     hearNotice(picked.server, facts, sentAt);
     if (facts.load)
-        m_context.picker.responseLoad(
+        m_context.picker.receiveResponseLoad(
             picked.server.instance(), facts.load->running, facts.load->waiting, clock_type::now());
     if (isSuccess(head->status) && (!facts.isSigned || facts.isEncoded))
         return broke(picked, { error_kind::BadInput, "a success without signature, or changed on the way", "" });
@@ -367,7 +367,7 @@
 exchange::next_step exchange::notRun(const picked_backend& picked, const http_head& head, const backend_facts& facts)
 {
     if (facts.atFault && *facts.atFault != picked.server.address && !facts.isOtherServer)
-        m_context.picker.groupFailed(picked.server.instance(), clock_type::now());
+        m_context.picker.onGroupFailed(picked.server.instance(), clock_type::now());
     settle(picked, facts.isOtherServer ? backend_outcome::Replaced : backend_outcome::Busy);
     logEvent(log_event::RequestFailed,
         label() + " backend=" + picked.server.id.text() + " not_run=yes status=" + std::to_string(head.status)
@@ -515,7 +515,7 @@
 void exchange::settle(const picked_backend& picked, backend_outcome outcome, std::optional<duration> latency)
 {
     m_context.metrics.count("attempts_total", { { "outcome", toString(outcome) } });
-    m_context.picker.finished(picked.server.instance(), outcome, latency, clock_type::now());
+    m_context.picker.onRequestFinished(picked.server.instance(), outcome, latency, clock_type::now());
 }
 
 retry_budget& exchange::budget() { return m_context.budgets.at(m_deployment); }
--- a/coltsfootbend/gateway/exchange_test.cpp
+++ b/coltsfootbend/gateway/exchange_test.cpp
@@ -531,7 +531,7 @@
             (void)stream.writeAll(answerTo(head, 503, "stalled", "X-Not-Executed: 1\r\nAt-Server: 10.9.9.9:80\r\n"));
         });
         trial.use(makeRoute(route_kind::Stream, 1, true), { &server });
-        trial.context->picker.report(
+        trial.context->picker.receiveReport(
             server.address(), { .running = 1, .group = "g", .epoch = 1, .step = 5, .ranks = 2 }, clock_type::now());
         const auto& got = trial.run();
         EXPECT_EQ(got.status, 503);
--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -236,7 +236,7 @@
     const auto engine = parseEndpoint(news.engine);
     if (!engine)
         return;
-    m_context->picker.report(*engine,
+    m_context->picker.receiveReport(*engine,
         { .life = backend_life(news.life),
             .running = news.running,
             .waiting = news.waiting,
@@ -249,7 +249,7 @@
         now);
     if (news.subscribers > 0 && news.subscribers != m_gateways && m_context->catalogue) {
         m_gateways = news.subscribers;
-        m_context->picker.setGateways(m_gateways);
+        m_context->picker.setGatewayCount(m_gateways);
         m_permits->setGateways(m_gateways);
         applyBudgets();
     }
