--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -13,7 +13,7 @@
 constexpr std::chrono::milliseconds reportLag { 150 };
 // Requests sent within this time are in no report yet: the agents' report interval plus the transfer time.
 constexpr double unreportedWindowSeconds = 0.2;
-// Weight of a new gap between two requests in the firstClosed average of the request rate.
+// Weight of a new gap between two requests in the firstNotOpen average of the request rate.
 constexpr double rateSmoothingFactor = 0.05;
 // Longer gaps between two requests count as this long, so that an idle time does not dominate the average.
 constexpr double maxGapSeconds = 2;
@@ -119,22 +119,22 @@
     return found == m_groups.end() ? nullptr : &found->second;
 }
 
-bool backend_picker::isMoving(const backend_state& state, time_point now) const
+bool backend_picker::isGroupOpen(const backend_state& state, time_point now) const
 {
     const auto* group = groupOf(state);
     return !group || group->condition(now) == group_condition::Open;
 }
 
-bool backend_picker::isMoving(const backend_instance& server, time_point now) const
+bool backend_picker::isGroupOpen(const backend_instance& server, time_point now) const
 {
     const auto found = m_backends.find(server.id);
-    return found == m_backends.end() || isMoving(found->second, now);
+    return found == m_backends.end() || isGroupOpen(found->second, now);
 }
 
-bool backend_picker::isOpen(const deployment_id& deployment, time_point now) const
+bool backend_picker::hasOpenServer(const deployment_id& deployment, time_point now) const
 {
     return std::any_of(m_backends.begin(), m_backends.end(),
-        [&](const auto& entry) { return isServing(entry.second, deployment, now) && isMoving(entry.second, now); });
+        [&](const auto& entry) { return isServing(entry.second, deployment, now) && isGroupOpen(entry.second, now); });
 }
 
 void backend_picker::onGroupFailed(const backend_instance& server, time_point now)
@@ -195,7 +195,7 @@
     double load = 0;
     bool isReported = true;
     for (const auto& [id, state] : m_backends) {
-        if (!isServing(state, request.deployment, now) || !isMoving(state, now))
+        if (!isServing(state, request.deployment, now) || !isGroupOpen(state, now))
             continue;
         slots += deployment.engine->slots;
         inFlight += state.inFlight;
@@ -433,10 +433,10 @@
     auto usable = candidates(request, now);
     if (usable.empty())
         return tl::unexpected(refuseForNoCandidates(request, now));
-    const auto firstClosed
-        = std::partition(usable.begin(), usable.end(), [&](const auto* state) { return isMoving(*state, now); });
-    if (firstClosed != usable.begin())
-        usable.erase(firstClosed, usable.end());
+    const auto firstNotOpen
+        = std::partition(usable.begin(), usable.end(), [&](const auto* state) { return isGroupOpen(*state, now); });
+    if (firstNotOpen != usable.begin())
+        usable.erase(firstNotOpen, usable.end());
     else if (!keepProbeTargets(usable, now))
         return tl::unexpected(refuseForGroups(usable, request, now));
     if (auto refused = keepPermitted(usable, request, now))
@@ -481,7 +481,7 @@
     if (outcome == backend_outcome::Replaced)
         state.replacedUntil = now + m_options.maxReplacedTime;
     // While its group makes no passes, no rank can answer, so a failure does not indicate a fault of this server.
-    if (outcome == backend_outcome::Abandoned || !isMoving(state, now))
+    if (outcome == backend_outcome::Abandoned || !isGroupOpen(state, now))
         return;
     const bool isBreak = outcome == backend_outcome::Broken || outcome == backend_outcome::Silent;
     const bool isFailure = isBreak || outcome == backend_outcome::Failed;
--- a/coltsfootbend/gateway/backend_picker.h
+++ b/coltsfootbend/gateway/backend_picker.h
@@ -92,10 +92,10 @@
 
     // Records that the server's answer reported another rank of its group as unreachable.
     void onGroupFailed(const backend_instance&, time_point now);
-    // Returns true if the server belongs to no group, or to one that is making passes. O(ranks).
-    bool isMoving(const backend_instance&, time_point now) const;
+    // Returns true unless the server belongs to a group that is stalled or broken. O(ranks).
+    bool isGroupOpen(const backend_instance&, time_point now) const;
     // Returns true if a server of `deployment` accepts new work and its group, if any, is open. O(servers).
-    bool isOpen(const deployment_id& deployment, time_point now) const;
+    bool hasOpenServer(const deployment_id& deployment, time_point now) const;
 
     // State of one group, for the log.
     struct group_status {
@@ -148,7 +148,7 @@
     static bool enterIncarnation(backend_state&, backend_life received);
     // Returns null for a server that belongs to no group, or whose group is not known yet.
     const group_monitor* groupOf(const backend_state&) const;
-    bool isMoving(const backend_state&, time_point now) const;
+    bool isGroupOpen(const backend_state&, time_point now) const;
     // Refuses a request for which no group is open. States when the first group is expected to open.
     refused_pick refuseForGroups(const std::vector<backend_state*>&, const pick_request&, time_point now);
     // Reduces `servers` to those of one stalled group that may be probed with this request. Returns false if there is
--- a/coltsfootbend/gateway/backend_picker_test.cpp
+++ b/coltsfootbend/gateway/backend_picker_test.cpp
@@ -305,8 +305,8 @@
         ASSERT_TRUE(picked);
         EXPECT_TRUE(picked->server.id == idOf(3) || picked->server.id == idOf(4));
     }
-    EXPECT_TRUE(m_picker.isOpen(llm, m_now));
-    EXPECT_FALSE(m_picker.isMoving(backend_instance { idOf(1), {} }, m_now));
+    EXPECT_TRUE(m_picker.hasOpenServer(llm, m_now));
+    EXPECT_FALSE(m_picker.isGroupOpen(backend_instance { idOf(1), {} }, m_now));
 }
 
 TEST_F(backend_picker_test, ServerThatReportsAnotherRankAtFaultBreaksItsGroup)
--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -208,7 +208,7 @@
 {
     const auto limit = std::min<time_point>(m_deadline, m_lastEventAt + callerGapLimit);
     while (lookAgainBefore(limit)) {
-        if (m_context.picker.isOpen(m_deployment, clock_type::now()))
+        if (m_context.picker.hasOpenServer(m_deployment, clock_type::now()))
             return true;
     }
     return false;
--- a/coltsfootbend/gateway/exchange_test.cpp
+++ b/coltsfootbend/gateway/exchange_test.cpp
@@ -205,7 +205,9 @@
                     runtime.sleepFor(10ms);
                     const auto now = clock_type::now();
                     current.context->guard.check(
-                        [&](const backend_instance& server) { return current.context->picker.isMoving(server, now); },
+                        [&](const backend_instance& server) {
+                            return current.context->picker.isGroupOpen(server, now);
+                        },
                         now);
                 }
             });
@@ -536,7 +538,7 @@
         const auto& got = trial.run();
         EXPECT_EQ(got.status, 503);
         EXPECT_GT(std::stod(findHeader(got.headers, "Retry-After").value_or("0")), 5);
-        EXPECT_FALSE(trial.context->picker.isOpen(service, clock_type::now()));
+        EXPECT_FALSE(trial.context->picker.hasOpenServer(service, clock_type::now()));
         server.close();
     });
 }
--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -275,7 +275,7 @@
         m_runtime.sleepFor(groupLookEvery);
         const auto now = clock_type::now();
         m_context->guard.check(
-            [this, now](const backend_instance& server) { return m_context->picker.isMoving(server, now); }, now);
+            [this, now](const backend_instance& server) { return m_context->picker.isGroupOpen(server, now); }, now);
         logGroups(now);
     }
 }
