--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -442,19 +442,20 @@
     if (auto refused = keepPermitted(usable, request, now))
         return tl::unexpected(*refused);
     auto& chosen = choose(usable, deployment, now);
-    const auto predicted = predictFirstEvent(chosen, deployment, now);
+    const auto predictedLatency = predictFirstEvent(chosen, deployment, now);
     const double load = loadOf(chosen, now);
     if (deployment.engine && !request.isResumption) {
         const double waiting = load + 1 - passModelOf(chosen, *deployment.engine).runningLimit(request.gapTarget);
-        const bool isTooLate = predicted > (request.isReturning ? request.deadline - now : request.latencyTarget);
+        const bool isTooLate
+            = predictedLatency > (request.isReturning ? request.deadline - now : request.latencyTarget);
         const bool wouldSlowOthers = load + 1 <= deployment.engine->slots; // It would run, but slow down all others.
         const bool mustYield = request.isReturning && mustYieldToNew(request, deployment, now);
         if (mustYield || (waiting > 0 && (isTooLate || wouldSlowOthers)))
             return tl::unexpected(
-                refuse(refusal_reason::Overloaded, predicted, startLatencyAt(chosen, deployment), request, now));
+                refuse(refusal_reason::Overloaded, predictedLatency, startLatencyAt(chosen, deployment), request, now));
     }
     return picked_backend { .server = chosen.server,
-        .predicted = predicted,
+        .predictedLatency = predictedLatency,
         .load = load,
         .reportAge = chosen.report ? std::optional<duration>(now - chosen.reportedAt) : std::nullopt };
 }
--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -219,7 +219,8 @@
     if (!m_route->mayRepeat() || m_sent >= m_route->maxAttempts)
         return time_point::max();
     return now
-        + std::max(fromMilliseconds(silentHeadFactor * toMilliseconds(m_route->latencyTarget)), 2 * picked.predicted);
+        + std::max(
+            fromMilliseconds(silentHeadFactor * toMilliseconds(m_route->latencyTarget)), 2 * picked.predictedLatency);
 }
 
 // A caller of a stream leaves after a pause; told before that its stream cannot go on, it may come back for the rest.
@@ -273,7 +274,7 @@
         label() + " backend=" + server.id.text() + " attempt=" + std::to_string(m_sent)
             + " load=" + std::to_string(picked.load).substr(0, 5) + " report_age_ms="
             + (picked.reportAge ? std::to_string(std::lround(toMilliseconds(*picked.reportAge))) : "none")
-            + " predicted_ms=" + std::to_string(std::lround(toMilliseconds(picked.predicted))) + " time_left_ms="
+            + " predicted_ms=" + std::to_string(std::lround(toMilliseconds(picked.predictedLatency))) + " time_left_ms="
             + std::to_string(std::lround(toMilliseconds(m_facts.timeLeft.value_or(duration::zero()))))
             + " returning=" + (m_returning ? "yes" : "no"));
     const auto sent = (*connection)->send(m_context.dialect.toBackend(m_request, call), m_deadline);
--- a/coltsfootbend/gateway/pick.h
+++ b/coltsfootbend/gateway/pick.h
@@ -65,7 +65,7 @@
 struct picked_backend {
     backend_server server;
     // Expected time to the first event or the answer.
-    duration predicted {};
+    duration predictedLatency {};
     // Load of the server in requests when it was chosen, for the log.
     double load = 0;
     // Age of the load report; none if no report was received.
