--- a/coltsfootbend/gateway/asking_servers_test.cpp
+++ b/coltsfootbend/gateway/asking_servers_test.cpp
@@ -159,7 +159,7 @@
     for (int i = 0; i < 50; ++i) {
         const auto refused = m_picker.pick(request(), m_now);
         ASSERT_FALSE(refused);
-        EXPECT_EQ(refused.error().reason, refusal_reason::Resting);
+        EXPECT_EQ(refused.error().reason, refusal_reason::BackingOff);
         EXPECT_EQ(refused.error().expectedOpenAt, m_now + 2s);
         EXPECT_GE(refused.error().retryAfter, 2s);
         returns.insert(refused.error().retryAfter);
@@ -170,7 +170,9 @@
 TEST_F(asking_servers_test, WhoeverCanStillBeServedInTimeWaitsForTheEndOfARest)
 {
     const held_request held { .arrivedAt = m_now, .deadline = m_now + 8s, .latencyTarget = 400ms };
-    refused_pick refused { .reason = refusal_reason::Resting, .startLatency = 100ms, .expectedOpenAt = m_now + 200ms };
+    refused_pick refused {
+        .reason = refusal_reason::BackingOff, .startLatency = 100ms, .expectedOpenAt = m_now + 200ms
+    };
     EXPECT_EQ(holdUntil(refused, held, m_now), m_now + 300ms);
     refused.expectedOpenAt = m_now + 310ms;
     EXPECT_FALSE(holdUntil(refused, held, m_now)) << "it would be late for certain";
--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -296,8 +296,8 @@
     }
     if (!first)
         return refuse(refusal_reason::NoServers, registrationTime, {}, request, now);
-    auto refused = refuse(
-        refusal_reason::Resting, openAt - now, startLatencyAt(*first, m_deployments[request.deployment]), request, now);
+    auto refused = refuse(refusal_reason::BackingOff, openAt - now,
+        startLatencyAt(*first, m_deployments[request.deployment]), request, now);
     refused.expectedOpenAt = openAt;
     // A retry before the backoff ends would be refused again, so the time exceeds it even if callers do not wait that
     // long. Jittered, so that callers do not retry at once.
@@ -484,7 +484,7 @@
     // While its group makes no passes, no rank can answer, so a failure does not indicate a fault of this server.
     if (outcome == backend_outcome::Abandoned || !isGroupOpen(state, now))
         return;
-    const bool isBreak = outcome == backend_outcome::Broken || outcome == backend_outcome::Silent;
+    const bool isBreak = outcome == backend_outcome::Broken || outcome == backend_outcome::Unresponsive;
     const bool isFailure = isBreak || outcome == backend_outcome::Failed;
     state.failureRate += m_options.smoothingFactor * ((isFailure ? 1 : 0) - state.failureRate);
     if (isBreak) {
--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -442,7 +442,7 @@
     const bool isSilent = why.kind == error_kind::TimedOut;
     const bool isOverdue = clock_type::now() >= m_deadline;
     settle(picked,
-        isOverdue ? backend_outcome::Abandoned : (isSilent ? backend_outcome::Silent : backend_outcome::Broken));
+        isOverdue ? backend_outcome::Abandoned : (isSilent ? backend_outcome::Unresponsive : backend_outcome::Broken));
     logEvent(log_event::RequestFailed,
         label() + " backend=" + picked.server.id.text() + " events=" + std::to_string(m_events.events()) + " why=\""
             + toString(why) + "\"" + " request=" + shortName(fingerprint()));
--- a/coltsfootbend/gateway/pick.cpp
+++ b/coltsfootbend/gateway/pick.cpp
@@ -11,7 +11,7 @@
         return "group_down";
     case refusal_reason::GroupStalled:
         return "group_standing";
-    case refusal_reason::Resting:
+    case refusal_reason::BackingOff:
         return "servers_resting";
     case refusal_reason::Limited:
         return "servers_limited";
@@ -34,7 +34,7 @@
         return "replaced";
     case backend_outcome::Broken:
         return "broken";
-    case backend_outcome::Silent:
+    case backend_outcome::Unresponsive:
         return "silent";
     case backend_outcome::Abandoned:
         return "abandoned";
--- a/coltsfootbend/gateway/pick.h
+++ b/coltsfootbend/gateway/pick.h
@@ -20,7 +20,7 @@
     Busy, // The server proved that it did not run the request.
     Replaced, // Another server answered at its address.
     Broken, // The connection failed or the answer was incomplete.
-    Silent, // The server sent nothing for too long.
+    Unresponsive, // The server sent nothing for too long.
     Abandoned, // The caller left, which does not indicate a fault of the server.
 };
 
@@ -32,7 +32,7 @@
     NoServers, // No server is registered, or all are leaving.
     GroupDown, // The engines' group is broken; no engine can run the request now.
     GroupStalled, // The engines' group makes no passes: briefly, or because it is about to be reported as broken.
-    Resting, // All servers have asked for a backoff.
+    BackingOff, // All servers have asked for a backoff.
     Limited, // All servers have stated a limit, and it is used up.
     Overloaded, // The request could not be served in time.
 };
--- a/coltsfootbend/gateway/waiting_policy.cpp
+++ b/coltsfootbend/gateway/waiting_policy.cpp
@@ -77,7 +77,7 @@
         return holdForSlot(refused, request, now);
     case refusal_reason::Limited:
         return holdForPermit(refused, request, now);
-    case refusal_reason::Resting:
+    case refusal_reason::BackingOff:
         return holdForBackoff(refused, request, now);
     case refusal_reason::GroupStalled:
         return holdForStalledGroup(refused, request, now);
