--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -234,7 +234,7 @@
 double backend_picker::scoreOf(const backend_state& state, const deployment_state& deployment, time_point now) const
 {
     double score = loadOf(state, now);
-    if (state.server.dataCentre != m_options.home)
+    if (state.server.dataCentre != m_options.localDataCentre)
         score += m_options.remoteDataCentrePenalty;
     if (!deployment.engine && state.meanLatencyMs > 0)
         score = (score + 1) * state.meanLatencyMs / 10; // A slower server needs a proportionally lower load.
--- a/coltsfootbend/gateway/backend_picker.h
+++ b/coltsfootbend/gateway/backend_picker.h
@@ -36,7 +36,7 @@
 public:
     struct options {
         // Data centre of this gateway; its servers are preferred.
-        data_centre_id home;
+        data_centre_id localDataCentre;
         // Load reports older than this are ignored.
         duration maxReportAge = std::chrono::milliseconds(1500);
         // How long a server gets no requests after it broke one exchange; doubles with each further one in a row.
--- a/coltsfootbend/gateway/backend_picker_test.cpp
+++ b/coltsfootbend/gateway/backend_picker_test.cpp
@@ -69,7 +69,7 @@
 
     std::optional<catalogue> m_catalogue;
     std::map<backend_id, backend_server> m_servers;
-    backend_picker m_picker { { .home = data_centre_id("here") }, 1 };
+    backend_picker m_picker { { .localDataCentre = data_centre_id("here") }, 1 };
     time_point m_now = time_point {} + 1h;
     std::uint64_t m_step = 10;
 };
@@ -108,8 +108,8 @@
     use(llm, 12);
     std::vector<std::unique_ptr<backend_picker>> gateways;
     for (unsigned i = 0; i < 9; ++i) {
-        gateways.push_back(
-            std::make_unique<backend_picker>(backend_picker::options { .home = data_centre_id("here") }, 7919 * i + 1));
+        gateways.push_back(std::make_unique<backend_picker>(
+            backend_picker::options { .localDataCentre = data_centre_id("here") }, 7919 * i + 1));
         gateways.back()->setServers(m_servers, *m_catalogue);
         gateways.back()->setGatewayCount(9);
     }
--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -67,7 +67,7 @@
     m_context = std::make_unique<gateway_context>(gateway_context { .runtime = m_runtime,
         .dialect = *m_dialect,
         .metrics = *m_metrics,
-        .picker = backend_picker({ .home = m_settings.dataCentre }, std::random_device {}()),
+        .picker = backend_picker({ .localDataCentre = m_settings.dataCentre }, std::random_device {}()),
         .connections = backend_connections(m_runtime),
         .guard = {},
         .budgets = {},
