--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -446,13 +446,13 @@
     logEvent(log_event::RequestFailed,
         label() + " backend=" + picked.server.id.text() + " events=" + std::to_string(m_events.events()) + " why=\""
             + toString(why) + "\"" + " request=" + shortName(fingerprint()));
-    const bool maySendOn = m_context.quarantine.maySendOn(fingerprint());
+    const bool mayTryAnotherServer = m_context.quarantine.mayTryAnotherServer(fingerprint());
     // Where servers crash together, a request that leaves one may reach the next at its very end.
     if (why.kind == error_kind::Lost && clock_type::now() >= m_sentAt + soonestCrash)
-        m_context.quarantine.lost(picked.server, fingerprint());
+        m_context.quarantine.onExchangeBroken(picked.server, fingerprint());
     m_events.dropPending();
     m_mayHaveRun = true;
-    if (m_route->mayRepeat() && !isOverdue && maySendOn && mayTryAgain())
+    if (m_route->mayRepeat() && !isOverdue && mayTryAnotherServer && mayTryAgain())
         return next_step::TryAgain;
     finishWithoutServer();
     return next_step::Finished;
@@ -524,7 +524,7 @@
 void exchange::clearSuspicion()
 {
     if (m_context.quarantine.isActive())
-        m_context.quarantine.answered(fingerprint());
+        m_context.quarantine.onRequestSucceeded(fingerprint());
 }
 
 const request_fingerprint& exchange::fingerprint()
--- a/coltsfootbend/gateway/quarantine_network.cpp
+++ b/coltsfootbend/gateway/quarantine_network.cpp
@@ -32,14 +32,14 @@
         return;
     m_archive->onRestored([this](const std::vector<crash_record>& records) {
         m_requests.history().add(records, clock_type::now());
-        m_requests.review();
+        m_requests.logChangedVerdicts();
     });
 }
 
 void quarantine_network::hear(const endpoint& sender, const wire::crash_report& report)
 {
     m_gossip.hear(sender, report, clock_type::now());
-    m_requests.review();
+    m_requests.logChangedVerdicts();
 }
 
 void quarantine_network::hearDigest(const endpoint& sender, std::uint64_t digest)
@@ -50,7 +50,7 @@
 void quarantine_network::expire()
 {
     m_requests.history().expire(clock_type::now());
-    m_requests.review();
+    m_requests.logChangedVerdicts();
 }
 
 void quarantine_network::publish(const std::vector<crash_record>& records)
--- a/coltsfootbend/gateway/request_quarantine.cpp
+++ b/coltsfootbend/gateway/request_quarantine.cpp
@@ -34,12 +34,12 @@
     return m_history.refusedUntil(request, now);
 }
 
-bool request_quarantine::maySendOn(const request_fingerprint& request) const
+bool request_quarantine::mayTryAnotherServer(const request_fingerprint& request) const
 {
     return m_history.crashes(request) < crashesToStopResending;
 }
 
-void request_quarantine::lost(const backend_server& server, const request_fingerprint& request)
+void request_quarantine::onExchangeBroken(const backend_server& server, const request_fingerprint& request)
 {
     m_detector.onExchangeBroken(server, request);
 }
@@ -51,20 +51,20 @@
     for (const auto& request : crash.requests)
         records.push_back({ .request = request, .server = incarnationOf(crash.server), .at = now });
     const auto added = m_history.add(records, now);
-    review();
+    logChangedVerdicts();
     m_publish(added);
 }
 
-void request_quarantine::answered(const request_fingerprint& request)
+void request_quarantine::onRequestSucceeded(const request_fingerprint& request)
 {
     const auto cleared = m_history.clear(request);
     if (cleared.empty())
         return;
-    review();
+    logChangedVerdicts();
     m_publish(cleared);
 }
 
-void request_quarantine::review()
+void request_quarantine::logChangedVerdicts()
 {
     std::map<request_fingerprint, std::string> verdicts;
     for (const auto& request : m_history.suspended(clock_type::now()))
--- a/coltsfootbend/gateway/request_quarantine.h
+++ b/coltsfootbend/gateway/request_quarantine.h
@@ -5,7 +5,7 @@
 // for other reasons: see `gateway/backend_picker.h`.
 //
 //     if (const auto until = quarantine.refusedUntil(fingerprint, now)) // answer that the request is not run
-//     quarantine.lost(server, fingerprint);
+//     quarantine.onExchangeBroken(server, fingerprint);
 
 #include "coltsfootbend/gateway/crash_detector.h"
 #include "coltsfootbend/quarantine/crash_history.h"
@@ -33,17 +33,17 @@
     // Returns until when the request must not be sent to a server; none if it may be sent.
     std::optional<time_point> refusedUntil(const request_fingerprint&, time_point now) const;
     // Returns true if a request that was lost at a server may be sent to another one within the same attempt.
-    bool maySendOn(const request_fingerprint&) const;
+    bool mayTryAnotherServer(const request_fingerprint&) const;
 
     // The exchange with `server` broke while it had the request.
-    void lost(const backend_server&, const request_fingerprint&);
+    void onExchangeBroken(const backend_server&, const request_fingerprint&);
     // A server ran the request successfully.
-    void answered(const request_fingerprint&);
+    void onRequestSucceeded(const request_fingerprint&);
 
-    // Returns the records of this gateway and of other VMs. Call `review` after each change.
+    // Returns the records of this gateway and of other VMs. Call `logChangedVerdicts` after each change.
     crash_history& history() { return m_history; }
     // Logs the verdicts that have changed since the last call.
-    void review();
+    void logChangedVerdicts();
 
 private:
     void onCrash(const backend_crash&);
