--- a/coltsfootbend/gateway/backend_picker.h
+++ b/coltsfootbend/gateway/backend_picker.h
@@ -32,6 +32,7 @@
 
 namespace coltsfootbend {
 
+// The state of all backend servers and engine groups as one gateway knows it, and the choice based on it.
 class backend_picker {
 public:
     struct options {
@@ -106,9 +107,11 @@
         time_point lastPassAt {};
         double passMs = 0;
     };
+    // Returns the state of all groups. O(groups * ranks).
     std::vector<group_status> groups(time_point now) const;
 
 private:
+    // Groups of different deployments may have the same name.
     struct group_key {
         deployment_id deployment;
         std::string group;
--- a/coltsfootbend/gateway/crash_detector.h
+++ b/coltsfootbend/gateway/crash_detector.h
@@ -24,6 +24,7 @@
     std::set<request_fingerprint> requests;
 };
 
+// Collects the requests of broken exchanges by server, and reports them if the server has crashed.
 class crash_detector {
 public:
     // `isExpected`: returns true for servers that leave as planned; the exchanges that they break when they terminate
--- a/coltsfootbend/gateway/crash_verifier.h
+++ b/coltsfootbend/gateway/crash_verifier.h
@@ -15,6 +15,7 @@
 
 namespace coltsfootbend {
 
+// Interface for confirming that a server has terminated.
 class crash_verifier {
 public:
     virtual ~crash_verifier() = default;
--- a/coltsfootbend/gateway/group_monitor.h
+++ b/coltsfootbend/gateway/group_monitor.h
@@ -18,6 +18,7 @@
 
 namespace coltsfootbend {
 
+// Whether a group accepts requests.
 enum class group_condition {
     Open, // Accepts requests, or no recent report says otherwise.
     Stalled, // Has work and makes no passes: held briefly, or about to be reported as broken.
@@ -38,6 +39,7 @@
     bool isForming = false;
 };
 
+// The condition, pass length and outages of one group, from the reports of its ranks.
 class group_monitor {
 public:
     struct options {
@@ -83,7 +85,7 @@
     // Returns true if the group is stalled without work, so that only a probing request can show whether it makes
     // passes again: the requests that waited have left, and an idle group makes no passes.
     bool mayProbe(time_point now) const;
-    // Records that a probing request is sent. No other one may be sent before `nextAt`.
+    // Records that this gateway sends a probing request. It sends no other one before `nextAt`.
     void onProbeSent(time_point nextAt) { m_nextProbeAt = nextAt; }
 
     // Returns when the last observed pass began.
--- a/coltsfootbend/gateway/request_quarantine.h
+++ b/coltsfootbend/gateway/request_quarantine.h
@@ -35,9 +35,9 @@
     // Returns true if a request that was lost at a server may be sent to another one within the same attempt.
     bool mayTryAnotherServer(const request_fingerprint&) const;
 
-    // The exchange with `server` broke while it had the request.
+    // Handles an exchange with `server` that broke while the server had the request.
     void onExchangeBroken(const backend_server&, const request_fingerprint&);
-    // A server ran the request successfully.
+    // Clears a request that a server ran successfully.
     void onRequestSucceeded(const request_fingerprint&);
 
     // Returns the records of this gateway and of other VMs. Call `logChangedVerdicts` after each change.
