--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -289,7 +289,7 @@
         const auto& id = m_context.dialect.readBackend(head).requestId;
         return id.empty() || id == m_facts.requestId;
     };
-    guarded_wait wait(m_context.guard, picked.server.instance(), m_caller->connection);
+    watched_response wait(m_context.guard, picked.server.instance(), m_caller->connection);
     // Counted from the arrival, a stream older than a caller's pause that goes on here was cut at the guard's next
     // look.
     wait.giveUpAt(headPatience(picked, sentAt), standingPatience(m_begun ? m_lastEventAt : m_arrivedAt));
@@ -380,7 +380,7 @@
 }
 
 exchange::next_step exchange::relayStream(const picked_backend& picked, backend_connection& connection,
-    const http_head& head, guarded_wait& wait, time_point sentAt)
+    const http_head& head, watched_response& wait, time_point sentAt)
 {
     std::optional<duration> latency;
     while (true) {
--- a/coltsfootbend/gateway/exchange.h
+++ b/coltsfootbend/gateway/exchange.h
@@ -12,7 +12,7 @@
 #include "coltsfootbend/gateway/event_stream.h"
 #include "coltsfootbend/gateway/request_admission.h"
 #include "coltsfootbend/gateway/request_quarantine.h"
-#include "coltsfootbend/gateway/silence_guard.h"
+#include "coltsfootbend/gateway/response_watchdog.h"
 #include "coltsfootbend/gateway/waiting_policy.h"
 #include "coltsfootbend/limits/patience_tracker.h"
 #include "coltsfootbend/limits/retry_budget.h"
@@ -33,7 +33,7 @@
     metrics_service& metrics;
     backend_picker picker;
     backend_connections connections;
-    silence_guard guard;
+    response_watchdog guard;
     // One for each deployment: what may be sent again.
     std::map<deployment_id, retry_budget> budgets;
     patience_tracker patience;
@@ -68,7 +68,7 @@
     void hearNotice(const backend_server&, const backend_facts&, time_point sentAt);
     next_step relayWhole(const picked_backend&, backend_connection&, const http_head&, time_point sentAt);
     next_step relayStream(
-        const picked_backend&, backend_connection&, const http_head&, guarded_wait&, time_point sentAt);
+        const picked_backend&, backend_connection&, const http_head&, watched_response&, time_point sentAt);
     // A server's proof that it did not run the request.
     next_step notRun(const picked_backend&, const http_head&, const backend_facts&);
     // The server broke the exchange, or was silent for too long.
--- a/coltsfootbend/gateway/silence_guard.h
+++ b/coltsfootbend/gateway/response_watchdog.h
@@ -5,7 +5,7 @@
 // on when the group does. Cheaper than a timer a stream: one look at all waits ten times a second. Not for the limits
 // of a caller, which end a wait in any case.
 //
-//     guarded_wait wait(guard, server, connection);
+//     watched_response wait(guard, server, connection);
 //     wait.giveUpAt(clock_type::now() + 900ms, clock_type::now() + 1900ms);
 //     auto bytes = connection->readBody(limit);
 //     if (!bytes && wait.isGivenUp()) ...
@@ -18,25 +18,25 @@
 
 namespace coltsfootbend {
 
-class guarded_wait;
+class watched_response;
 
-class silence_guard {
+class response_watchdog {
 public:
     // Closes the connection of every wait that is due and whose server's group moves. O(waits).
     void check(const std::function<bool(const backend_instance&)>& isMoving, time_point now);
 
 private:
-    friend class guarded_wait;
-    std::set<guarded_wait*> m_waits;
+    friend class watched_response;
+    std::set<watched_response*> m_waits;
 };
 
 // One wait, for as long as it exists. Must not outlive its guard.
-class guarded_wait {
+class watched_response {
 public:
-    guarded_wait(silence_guard&, backend_instance, backend_connection_ptr);
-    ~guarded_wait();
-    guarded_wait(const guarded_wait&) = delete;
-    guarded_wait& operator=(const guarded_wait&) = delete;
+    watched_response(response_watchdog&, backend_instance, backend_connection_ptr);
+    ~watched_response();
+    watched_response(const watched_response&) = delete;
+    watched_response& operator=(const watched_response&) = delete;
 
     // From when on a silent server is given up while its group moves, and in any case. Replaces the former moments.
     void giveUpAt(time_point whileMoving, time_point inAnyCase)
@@ -48,9 +48,9 @@
     bool isGivenUp() const { return m_isGivenUp; }
 
 private:
-    friend class silence_guard;
+    friend class response_watchdog;
 
-    silence_guard& m_guard;
+    response_watchdog& m_guard;
     const backend_instance m_server;
     const backend_connection_ptr m_connection;
     time_point m_whileMoving = time_point::max();
--- a/coltsfootbend/gateway/silence_guard_test.cpp
+++ b/coltsfootbend/gateway/response_watchdog_test.cpp
@@ -1,4 +1,4 @@
-#include "coltsfootbend/gateway/silence_guard.h"
+#include "coltsfootbend/gateway/response_watchdog.h"
 
 #include <gtest/gtest.h>
 
@@ -22,7 +22,7 @@
 };
 
 // A server that has been silent since `m_now`; its group moves or stands.
-class silence_guard_test : public testing::Test {
+class response_watchdog_test : public testing::Test {
 protected:
     void check(duration after, bool isMoving)
     {
@@ -31,11 +31,11 @@
 
     time_point m_now = time_point {} + 1h;
     std::shared_ptr<closable_stream> m_stream = std::make_shared<closable_stream>();
-    silence_guard m_guard;
-    guarded_wait m_wait { m_guard, {}, std::make_shared<backend_connection>(m_stream) };
+    response_watchdog m_guard;
+    watched_response m_wait { m_guard, {}, std::make_shared<backend_connection>(m_stream) };
 };
 
-TEST_F(silence_guard_test, ASilentServerOfAMovingGroupIsGivenUp)
+TEST_F(response_watchdog_test, ASilentServerOfAMovingGroupIsGivenUp)
 {
     m_wait.giveUpAt(m_now + 900ms, m_now + 1900ms);
     check(800ms, true);
@@ -46,7 +46,7 @@
 }
 
 // What runs there goes on with the group: the server is waited for, but no longer than its caller waits.
-TEST_F(silence_guard_test, ASilentServerOfAStandingGroupIsWaitedForWhileItsCallerIsThere)
+TEST_F(response_watchdog_test, ASilentServerOfAStandingGroupIsWaitedForWhileItsCallerIsThere)
 {
     m_wait.giveUpAt(m_now + 900ms, m_now + 1900ms);
     check(1800ms, false);
@@ -55,7 +55,7 @@
     EXPECT_TRUE(m_stream->isClosed);
 }
 
-TEST_F(silence_guard_test, AnAnswerThatHasBegunIsNotGivenUp)
+TEST_F(response_watchdog_test, AnAnswerThatHasBegunIsNotGivenUp)
 {
     m_wait.giveUpAt(m_now + 900ms, m_now + 1900ms);
     m_wait.waitOn();
