--- a/coltsfootbend/gateway/backend_connection.cpp
+++ b/coltsfootbend/gateway/backend_connection.cpp
@@ -13,12 +13,13 @@
 
 namespace {
 
-constexpr std::size_t readBytes = std::size_t { 8 } * 1024;
-constexpr std::uint32_t maxHeadBytes = 32 * 1024;
-// Streams have no end that is known before; whole bodies are limited by whoever keeps them.
+constexpr std::size_t readBufferSize = std::size_t { 8 } * 1024;
+constexpr std::uint32_t maxHeaderBytes = 32 * 1024;
+// Effectively unlimited, because the length of a stream is not known in advance. Code that buffers a whole body applies
+// its own limit.
 constexpr std::uint64_t maxBodyBytes = std::uint64_t { 1 } << 40U;
-// Late answers to earlier requests that are dropped before a connection is given up.
-constexpr int maxForeignAnswers = 3;
+// Number of late responses to earlier requests that are dropped before the connection is given up.
+constexpr int maxStaleAnswers = 3;
 constexpr unsigned firstFinalStatus = 200;
 
 http::request<http::string_body> toBeast(const http_request& request)
@@ -36,69 +37,70 @@
 
 } // namespace
 
-error backend_connection::broken(boost::system::error_code code) const
+error backend_connection::toError(boost::system::error_code code) const
 {
     if (code == beast::error::timeout)
-        return { error_kind::TimedOut, "the server was silent", "Ask another server, or allow more time" };
+        return { error_kind::TimedOut, "the server sent nothing before the deadline",
+            "Try another server, or allow more time" };
     const bool isParseError = code.category() == http::make_error_code(http::error::bad_method).category()
         && code != http::error::end_of_stream && code != http::error::partial_message;
-    return { isParseError ? error_kind::BadInput : error_kind::Lost, code.message(),
-        "Look at the backend server's log" };
+    return { isParseError ? error_kind::BadInput : error_kind::Lost, code.message(), "Check the backend server's log" };
 }
 
 result<void> backend_connection::send(const http_request& request, time_point deadline)
 {
     const auto message = toBeast(request);
     m_method = request.method;
-    ++m_requests;
+    ++m_requestCount;
     m_stream->setDeadline(deadline);
     boost::system::error_code code;
     http::write(*m_stream, message, code);
     if (code)
-        return tl::unexpected(broken(code));
+        return tl::unexpected(toError(code));
     return {};
 }
 
 result<http_head> backend_connection::readOneHead(time_point deadline)
 {
     m_parser.emplace();
-    m_parser->header_limit(maxHeadBytes);
+    m_parser->header_limit(maxHeaderBytes);
     m_parser->body_limit(maxBodyBytes);
     m_parser->skip(m_method == "HEAD");
     m_stream->setDeadline(deadline);
     boost::system::error_code code;
     http::read_header(*m_stream, m_buffer, *m_parser, code);
     if (code)
-        return tl::unexpected(broken(code));
+        return tl::unexpected(toError(code));
     http_head head { static_cast<int>(m_parser->get().result_int()), {} };
     for (const auto& field : m_parser->get())
         head.headers.push_back({ std::string(field.name_string()), std::string(field.value()) });
     return head;
 }
 
-result<http_head> backend_connection::readHead(time_point deadline, const std::function<bool(const http_head&)>& isMine)
+result<http_head> backend_connection::readHead(
+    time_point deadline, const std::function<bool(const http_head&)>& matchesRequest)
 {
-    for (int foreign = 0; foreign <= maxForeignAnswers;) {
+    for (int staleAnswers = 0; staleAnswers <= maxStaleAnswers;) {
         auto head = readOneHead(deadline);
         if (!head)
             return head;
         if (static_cast<unsigned>(head->status) < firstFinalStatus)
-            continue; // An interim answer has no body and is followed by the final one.
-        if (isMine(*head))
+            continue; // An interim (1xx) response has no body, and the final response follows.
+        if (matchesRequest(*head))
             return head;
-        ++foreign;
+        ++staleAnswers;
         for (auto bytes = readBody(deadline); !bytes || *bytes; bytes = readBody(deadline)) {
             if (!bytes)
                 return tl::unexpected(bytes.error());
         }
     }
     return fail(
-        error_kind::BadInput, "the server keeps sending answers to other requests", "Look at the backend server's log");
+        error_kind::BadInput, "the server keeps sending responses to other requests", "Check the backend server's log");
 }
 
 result<std::optional<std::string>> backend_connection::readBody(time_point deadline)
 {
-    std::array<char, readBytes> bytes; // NOLINT(cppcoreguidelines-pro-type-member-init)
+    std::array<char, readBufferSize> bytes; // NOLINT(cppcoreguidelines-pro-type-member-init)
     m_stream->setDeadline(deadline);
     while (!m_parser->is_done()) {
         m_parser->get().body().data = bytes.data();
@@ -107,11 +109,11 @@
         http::read_some(*m_stream, m_buffer, *m_parser, code);
         if (code == http::error::need_buffer)
             code = {};
-        const auto got = bytes.size() - m_parser->get().body().size;
+        const auto readSize = bytes.size() - m_parser->get().body().size;
         if (code)
-            return tl::unexpected(broken(code));
-        if (got > 0)
-            return std::string(bytes.data(), got);
+            return tl::unexpected(toError(code));
+        if (readSize > 0)
+            return std::string(bytes.data(), readSize);
     }
     return std::optional<std::string>();
 }
@@ -122,50 +124,52 @@
         && m_buffer.size() == 0;
 }
 
-result<backend_connection_ptr> backend_connections::obtain(
+result<backend_connection_ptr> backend_connection_pool::acquire(
     const backend_server& server, time_point deadline, bool mustBeFresh)
 {
     auto& idle = m_idle[server.id];
-    // The connection that was used last is the one that the server will keep longest.
+    // Starts with the connection that was used last, because the server keeps that one open longest.
     while (!idle.empty()) {
         const auto candidate = idle.back();
         const auto now = clock_type::now();
         if (mustBeFresh && now >= candidate.freshUntil)
             break;
         idle.pop_back();
-        if (candidate.life == server.life && now < candidate.usableUntil && candidate.connection->isOpenAndQuiet())
+        if (candidate.incarnation == server.life && now < candidate.usableUntil
+            && candidate.connection->isOpenAndQuiet())
             return candidate.connection;
         candidate.connection->close();
     }
-    auto stream = connectTcp(m_runtime, server.address, std::min(deadline, clock_type::now() + m_options.connectLimit));
+    auto stream
+        = connectTcp(m_runtime, server.address, std::min(deadline, clock_type::now() + m_options.connectTimeout));
     if (!stream)
         return tl::unexpected(stream.error());
     return std::make_shared<backend_connection>(*stream);
 }
 
-void backend_connections::keep(
-    const backend_server& server, backend_connection_ptr connection, std::optional<duration> keptFor)
+void backend_connection_pool::release(
+    const backend_server& server, backend_connection_ptr connection, std::optional<duration> keepAliveTimeout)
 {
     auto& idle = m_idle[server.id];
     const auto now = clock_type::now();
-    const auto usable = keptFor.value_or(m_options.defaultIdle) - m_options.idleMargin;
-    if (usable <= duration::zero() || idle.size() >= m_options.keptPerServer) {
+    const auto usableFor = keepAliveTimeout.value_or(m_options.defaultKeepAlive) - m_options.keepAliveMargin;
+    if (usableFor <= duration::zero() || idle.size() >= m_options.maxIdlePerServer) {
         connection->close();
         return;
     }
     idle.push_back({ .connection = std::move(connection),
-        .life = server.life,
-        .freshUntil = now + std::min(usable, m_options.freshFor),
-        .usableUntil = now + usable });
+        .incarnation = server.life,
+        .freshUntil = now + std::min(usableFor, m_options.freshFor),
+        .usableUntil = now + usableFor });
 }
 
-void backend_connections::sweep(const std::function<bool(const backend_id&)>& isKnown)
+void backend_connection_pool::sweep(const std::function<bool(const backend_id&)>& isInService)
 {
     const auto now = clock_type::now();
     for (auto& [id, idle] : m_idle) {
-        const bool known = isKnown(id);
+        const bool inService = isInService(id);
         std::erase_if(idle, [&](const idle_connection& candidate) {
-            if (known && now < candidate.usableUntil)
+            if (inService && now < candidate.usableUntil)
                 return false;
             candidate.connection->close();
             return true;
--- a/coltsfootbend/gateway/backend_connection.h
+++ b/coltsfootbend/gateway/backend_connection.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// One HTTP/1.1 connection to a backend server, and the connections that are kept for later requests. Servers may be
-// faulty: answers to earlier requests may come late, bytes may follow an answer, an answer may end anywhere. Whatever
-// does not belong to the request under way is dropped or ends the connection. The wire work is Beast's.
+// HTTP/1.1 connections to backend servers, and a pool that reuses idle ones. Servers may be faulty: they may send
+// responses to earlier requests late, send bytes after a response, or end a response anywhere. Data that does not
+// belong to the current request is dropped or ends the connection. Boost.Beast does the HTTP parsing and serialisation.
 //
-//     auto connection = pool.obtain(server, now, deadline, mustBeFresh);
+//     auto connection = pool.acquire(server, deadline, mustBeFresh);
 //     (*connection)->send(request, deadline);
-//     auto head = (*connection)->readHead(deadline, isMine);
+//     auto head = (*connection)->readHead(deadline, matchesRequest);
 //     while (auto bytes = (*connection)->readBody(deadline)) ...
+//     pool.release(server, *connection, keepAliveTimeout);
 
 #include "coltsfootbend/gateway/backend_directory.h"
 #include "coltsfootbend/net/http.h"
@@ -23,6 +24,7 @@
 
 namespace coltsfootbend {
 
+// One connection to a backend server. Carries one request at a time.
 class backend_connection {
 public:
     explicit backend_connection(byte_stream_ptr stream)
@@ -30,80 +32,90 @@
     {
     }
 
-    // Fails with `Lost`: some of the request may have arrived.
+    // Sends a request. Fails with `TimedOut` at `deadline` and with `Lost` when the connection breaks; in both cases
+    // the server may have received part of the request.
     result<void> send(const http_request&, time_point deadline);
 
-    // Returns the head of the answer for which `isMine` holds; others before it are late answers to earlier requests
-    // and are dropped. Fails with `TimedOut` at `deadline`, with `Lost` when the connection broke, with `BadInput` when
-    // what came is no answer.
-    result<http_head> readHead(time_point deadline, const std::function<bool(const http_head&)>& isMine);
+    // Returns the head of the first response for which `matchesRequest` is true. Drops the responses before it: they
+    // are late responses to earlier requests. Fails with `TimedOut` at `deadline`, with `Lost` when the connection
+    // breaks, and with `BadInput` when the received bytes are not an HTTP response.
+    result<http_head> readHead(time_point deadline, const std::function<bool(const http_head&)>& matchesRequest);
 
-    // Returns the next bytes of the body, none at its end. Fails as `readHead`.
+    // Returns the next bytes of the body, or none at its end. Fails like `readHead`.
     result<std::optional<std::string>> readBody(time_point deadline);
 
-    // True when the answer has ended, the server keeps the connection, and nothing follows the answer.
+    // Returns true when the response is complete, the server keeps the connection open, and no bytes follow the
+    // response.
     bool isReusable() const;
+    // Returns true while an idle connection is open and the server has sent nothing on it.
     bool isOpenAndQuiet() const { return m_buffer.size() == 0 && m_stream->isOpenAndQuiet(); }
-    // Ends whatever is under way, also in another fiber.
+    // Closes the connection. A call that is in progress in another fiber fails.
     void close() { m_stream->close(); }
 
-    // Requests that were sent on it.
-    std::uint32_t requests() const { return m_requests; }
+    // Returns the number of requests that were sent on this connection.
+    std::uint32_t requestCount() const { return m_requestCount; }
 
 private:
     using response_parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
     result<http_head> readOneHead(time_point deadline);
-    error broken(boost::system::error_code) const;
+    error toError(boost::system::error_code) const;
 
     byte_stream_ptr m_stream;
     boost::beast::flat_buffer m_buffer;
     std::optional<response_parser> m_parser;
     std::string m_method;
-    std::uint32_t m_requests = 0;
+    std::uint32_t m_requestCount = 0;
 };
 
 using backend_connection_ptr = std::shared_ptr<backend_connection>;
 
-class backend_connections {
+// Idle connections to each backend server, for reuse by later requests.
+class backend_connection_pool {
 public:
     struct options {
-        // Servers that do not say for how long they keep a connection.
-        duration defaultIdle = std::chrono::seconds(5);
-        // A server's own timer may run out while a request is on its way: connections are given up this much sooner.
-        duration idleMargin = std::chrono::milliseconds(1000);
-        // Some servers drop idle connections early and silently. What must not run twice is sent on connections that
-        // were used this recently, or on new ones.
+        // Keep-alive timeout assumed for servers that state none.
+        duration defaultKeepAlive = std::chrono::seconds(5);
+        // Connections are closed this long before the server's keep-alive timeout, because the timeout may expire
+        // while a request is in transit.
+        duration keepAliveMargin = std::chrono::milliseconds(1000);
+        // Some servers drop idle connections early without closing them. Requests that must not run twice use only new
+        // connections and those that were used within this time.
         duration freshFor = std::chrono::milliseconds(1000);
-        // Several round trips between the farthest data centres; a lost opening packet is sent again only after
-        // seconds.
-        duration connectLimit = std::chrono::milliseconds(300);
-        std::size_t keptPerServer = 32;
+        // Limit for establishing a connection: several round trips between the most distant data centres. TCP repeats
+        // a lost SYN packet only after seconds, so a longer wait does not help.
+        duration connectTimeout = std::chrono::milliseconds(300);
+        // Number of idle connections that are kept for each server.
+        std::size_t maxIdlePerServer = 32;
     };
 
-    explicit backend_connections(fiber_runtime& runtime)
-        : backend_connections(runtime, options {})
+    explicit backend_connection_pool(fiber_runtime& runtime)
+        : backend_connection_pool(runtime, options {})
     {
     }
-    backend_connections(fiber_runtime& runtime, const options& options)
+    backend_connection_pool(fiber_runtime& runtime, const options& options)
         : m_runtime(runtime)
         , m_options(options)
     {
     }
 
-    // Returns a kept connection, or a new one. Fails with `Unavailable`: nothing was sent.
-    result<backend_connection_ptr> obtain(const backend_server&, time_point deadline, bool mustBeFresh);
+    // Returns an idle connection or opens a new one. With `mustBeFresh`, reuses only connections that were used within
+    // `freshFor`. Fails with `Unavailable`; nothing was sent then.
+    result<backend_connection_ptr> acquire(const backend_server&, time_point deadline, bool mustBeFresh);
 
-    // Keeps a connection after an answer, for what the server said or the default.
-    void keep(const backend_server&, backend_connection_ptr, std::optional<duration> keptFor);
+    // Returns a reusable connection to the pool after a response. `keepAliveTimeout` is what the server stated; without
+    // it `defaultKeepAlive` applies.
+    void release(const backend_server&, backend_connection_ptr, std::optional<duration> keepAliveTimeout);
 
-    // Closes what was idle for too long, and all to servers for which `isKnown` is false.
-    void sweep(const std::function<bool(const backend_id&)>& isKnown);
+    // Closes connections that were idle for too long, and all connections to servers for which `isInService` is false.
+    void sweep(const std::function<bool(const backend_id&)>& isInService);
 
 private:
     struct idle_connection {
         backend_connection_ptr connection;
-        backend_life life; // Of the server when it was made; a restarted server knows nothing of it.
+        // Incarnation of the server to which the connection was opened. A restarted server does not know the
+        // connection.
+        backend_life incarnation;
         time_point freshUntil {};
         time_point usableUntil {};
     };
--- a/coltsfootbend/gateway/event_stream.cpp
+++ b/coltsfootbend/gateway/event_stream.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The end of the first whole event in `text`, after the blank line; npos when there is none.
+// Returns the position after the blank line that ends the first event in `text`, or npos when no event is complete.
 std::size_t endOfEvent(std::string_view text)
 {
     for (std::size_t at = text.find('\n'); at != std::string_view::npos; at = text.find('\n', at + 1)) {
@@ -19,6 +19,7 @@
     return std::string_view::npos;
 }
 
+// Returns the value of the first "id:" line of `event` that is a number.
 std::optional<std::uint64_t> idOf(std::string_view event)
 {
     while (!event.empty()) {
@@ -43,21 +44,21 @@
 std::string event_splitter::feed(std::string_view bytes)
 {
     m_pending.append(bytes);
-    std::string whole;
-    std::string_view rest = m_pending;
-    for (auto end = endOfEvent(rest); end != std::string_view::npos; end = endOfEvent(rest)) {
-        const auto event = rest.substr(0, end);
-        rest.remove_prefix(end);
+    std::string complete;
+    std::string_view remaining = m_pending;
+    for (auto end = endOfEvent(remaining); end != std::string_view::npos; end = endOfEvent(remaining)) {
+        const auto event = remaining.substr(0, end);
+        remaining.remove_prefix(end);
         const auto id = idOf(event);
-        if (id && m_lastId && *id <= *m_lastId)
+        if (id && m_lastEventId && *id <= *m_lastEventId)
             continue;
         if (id)
-            m_lastId = id;
-        whole.append(event);
-        ++m_events;
+            m_lastEventId = id;
+        complete.append(event);
+        ++m_eventCount;
     }
-    m_pending.erase(0, m_pending.size() - rest.size());
-    return whole;
+    m_pending.erase(0, m_pending.size() - remaining.size());
+    return complete;
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/event_stream.h
+++ b/coltsfootbend/gateway/event_stream.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// Splits a server's event stream into whole events, so that only whole ones are passed on and a stream that broke can
-// go on from the last of them. Not for what the events say.
+// Splits a backend server's event stream (server-sent events) into complete events. The gateway relays complete events
+// only, so that another server can resume a broken stream after the last of them. Does not interpret the events' data.
 //
-//     event_splitter splitter(lastSeen);
-//     std::string whole = splitter.feed(bytes); // whole events, those that were seen before left out
-//     splitter.lastId(); // where another server has to go on
+//     event_splitter splitter(lastEventIdOfCaller);
+//     std::string complete = splitter.feed(bytes); // complete events, without those that the caller already has
+//     splitter.lastEventId(); // the event after which another server resumes the stream
 
 #include <cstdint>
 #include <optional>
@@ -14,31 +14,32 @@
 
 namespace coltsfootbend {
 
+// Buffers the bytes of one event stream and returns each event once it is complete.
 class event_splitter {
 public:
-    // `lastId`: the caller has the events up to and with this one.
-    explicit event_splitter(std::optional<std::uint64_t> lastId)
-        : m_lastId(lastId)
+    // `lastEventId`: the last event that the caller already has; none for a new stream.
+    explicit event_splitter(std::optional<std::uint64_t> lastEventId)
+        : m_lastEventId(lastEventId)
     {
     }
 
-    // Returns the whole events that `bytes` completes. Events with an id not above the last one are left out: a server
-    // may begin a resumed stream too early. O(length).
+    // Returns the events that `bytes` completes. Drops events whose id is not above the last one, because a server may
+    // resume a stream too early and repeat events. O(length).
     std::string feed(std::string_view bytes);
 
-    // The id of the last event returned, or what the splitter was made with.
-    std::optional<std::uint64_t> lastId() const { return m_lastId; }
-    // Events returned so far.
-    std::uint64_t events() const { return m_events; }
-    // True when an event was begun and is not whole.
-    bool isInsideEvent() const { return !m_pending.empty(); }
-    // Forgets the begun event: another server sends it again.
-    void dropPending() { m_pending.clear(); }
+    // Returns the id of the last event that `feed` returned, or the id passed to the constructor before the first one.
+    std::optional<std::uint64_t> lastEventId() const { return m_lastEventId; }
+    // Returns the number of events that `feed` has returned.
+    std::uint64_t eventCount() const { return m_eventCount; }
+    // Returns true when an event was started and is not complete.
+    bool hasPartialEvent() const { return !m_pending.empty(); }
+    // Discards the incomplete event; the server that resumes the stream sends it again.
+    void dropPartialEvent() { m_pending.clear(); }
 
 private:
     std::string m_pending;
-    std::optional<std::uint64_t> m_lastId;
-    std::uint64_t m_events = 0;
+    std::optional<std::uint64_t> m_lastEventId;
+    std::uint64_t m_eventCount = 0;
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -240,7 +240,7 @@
         finishWithoutServer();
         return next_step::Finished;
     }
-    auto connection = m_context.connections.obtain(server, m_deadline, !m_route->mayRepeat());
+    auto connection = m_context.connections.acquire(server, m_deadline, !m_route->mayRepeat());
     if (m_caller->gone)
         return next_step::TryAgain; // The loop ends it.
     if (!connection) {
@@ -264,7 +264,7 @@
         .customer = m_customer ? m_customer->id : customer_id(),
         .timeLeft = m_deadline - now,
         .priority = priority(),
-        .resumeAfter = m_events.lastId() };
+        .resumeAfter = m_events.lastEventId() };
     ++m_sent;
     m_sentAt = now;
     m_excluded.push_back(server.instance());
@@ -285,18 +285,18 @@
 
 exchange::next_step exchange::receive(const picked_backend& picked, backend_connection& connection, time_point sentAt)
 {
-    const auto isMine = [this](const http_head& head) {
+    const auto matchesRequest = [this](const http_head& head) {
         const auto& id = m_context.dialect.readBackend(head).requestId;
         return id.empty() || id == m_facts.requestId;
     };
     watched_response wait(m_context.guard, picked.server.instance(), m_caller->connection);
     // Counted from the arrival, a stream older than a caller's pause that goes on here was cut at the guard's next
     // look.
-    wait.giveUpAt(headPatience(picked, sentAt), standingPatience(m_begun ? m_lastEventAt : m_arrivedAt));
-    const auto head = connection.readHead(m_deadline + serverAnswerSlack, isMine);
+    wait.setDeadlines(headPatience(picked, sentAt), standingPatience(m_begun ? m_lastEventAt : m_arrivedAt));
+    const auto head = connection.readHead(m_deadline + serverAnswerSlack, matchesRequest);
     if (!head)
-        return broke(picked, wait.isGivenUp() ? silentServer() : head.error());
-    wait.waitOn();
+        return broke(picked, wait.hasExpired() ? silentServer() : head.error());
+    wait.clearDeadlines();
     const auto facts = m_context.dialect.readBackend(*head);
     hearNotice(picked.server, facts, sentAt);
     if (facts.load)
@@ -339,7 +339,7 @@
     }
     const auto facts = m_context.dialect.readBackend(head);
     if (connection.isReusable())
-        m_context.connections.keep(picked.server, m_caller->connection, facts.keptFor);
+        m_context.connections.release(picked.server, m_caller->connection, facts.keptFor);
     if (facts.isNotRun)
         return notRun(picked, head, facts);
     settle(picked, isSuccess(head.status) ? backend_outcome::Answered : backend_outcome::Failed, latency);
@@ -386,14 +386,14 @@
     while (true) {
         const bool mayMove = m_route->resumable && m_sent < m_route->maxAttempts;
         const auto now = clock_type::now();
-        wait.giveUpAt(mayMove ? now + silentStreamLimit : time_point::max(), standingPatience(now));
+        wait.setDeadlines(mayMove ? now + silentStreamLimit : time_point::max(), standingPatience(now));
         auto bytes = connection.readBody(m_deadline + serverAnswerSlack);
         if (!bytes)
-            return broke(picked, wait.isGivenUp() ? silentServer() : bytes.error());
+            return broke(picked, wait.hasExpired() ? silentServer() : bytes.error());
         if (*bytes && !latency)
             latency = clock_type::now() - sentAt;
         const auto whole = *bytes ? m_events.feed(**bytes) : std::string();
-        if (!*bytes && m_events.isInsideEvent())
+        if (!*bytes && m_events.hasPartialEvent())
             return broke(picked, { error_kind::Lost, "the stream ended inside an event", "" });
         if (!m_begun && (!whole.empty() || !*bytes)) {
             m_begun = true;
@@ -414,12 +414,12 @@
             break;
     }
     if (connection.isReusable())
-        m_context.connections.keep(picked.server, m_caller->connection, m_context.dialect.readBackend(head).keptFor);
+        m_context.connections.release(picked.server, m_caller->connection, m_context.dialect.readBackend(head).keptFor);
     settle(picked, backend_outcome::Answered, latency);
     clearSuspicion();
     budget().recordSuccess();
     logEvent(log_event::RequestAnswered,
-        label() + " backend=" + picked.server.id.text() + " events=" + std::to_string(m_events.events()));
+        label() + " backend=" + picked.server.id.text() + " events=" + std::to_string(m_events.eventCount()));
     (void)m_responder.end();
     return next_step::Finished;
 }
@@ -444,13 +444,13 @@
     settle(picked,
         isOverdue ? backend_outcome::Abandoned : (isSilent ? backend_outcome::Unresponsive : backend_outcome::Broken));
     logEvent(log_event::RequestFailed,
-        label() + " backend=" + picked.server.id.text() + " events=" + std::to_string(m_events.events()) + " why=\""
+        label() + " backend=" + picked.server.id.text() + " events=" + std::to_string(m_events.eventCount()) + " why=\""
             + toString(why) + "\"" + " request=" + shortName(fingerprint()));
     const bool mayTryAnotherServer = m_context.quarantine.mayTryAnotherServer(fingerprint());
     // Where servers crash together, a request that leaves one may reach the next at its very end.
     if (why.kind == error_kind::Lost && clock_type::now() >= m_sentAt + soonestCrash)
         m_context.quarantine.onExchangeBroken(picked.server, fingerprint());
-    m_events.dropPending();
+    m_events.dropPartialEvent();
     m_mayHaveRun = true;
     if (m_route->mayRepeat() && !isOverdue && mayTryAnotherServer && mayTryAgain())
         return next_step::TryAgain;
@@ -465,7 +465,7 @@
 {
     if (m_begun) {
         // The caller sees that the stream is not whole, and may resume it.
-        logEvent(log_event::RequestFailed, label() + " outcome=cut events=" + std::to_string(m_events.events()));
+        logEvent(log_event::RequestFailed, label() + " outcome=cut events=" + std::to_string(m_events.eventCount()));
         m_context.metrics.count("streams_cut_total");
         m_responder.abort();
         return;
--- a/coltsfootbend/gateway/exchange.h
+++ b/coltsfootbend/gateway/exchange.h
@@ -32,7 +32,7 @@
     const request_dialect& dialect;
     metrics_service& metrics;
     backend_picker picker;
-    backend_connections connections;
+    backend_connection_pool connections;
     response_watchdog guard;
     // One for each deployment: what may be sent again.
     std::map<deployment_id, retry_budget> budgets;
--- a/coltsfootbend/gateway/exchange_test.cpp
+++ b/coltsfootbend/gateway/exchange_test.cpp
@@ -129,7 +129,7 @@
               .dialect = m_dialect,
               .metrics = m_metrics,
               .picker = backend_picker({}, 1),
-              .connections = backend_connections(runtime),
+              .connections = backend_connection_pool(runtime),
               .guard = {},
               .budgets = {},
               .patience = {},
--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -68,7 +68,7 @@
         .dialect = *m_dialect,
         .metrics = *m_metrics,
         .picker = backend_picker({ .localDataCentre = m_settings.dataCentre }, std::random_device {}()),
-        .connections = backend_connections(m_runtime),
+        .connections = backend_connection_pool(m_runtime),
         .guard = {},
         .budgets = {},
         .patience = {},
--- a/coltsfootbend/gateway/response_watchdog.cpp
+++ b/coltsfootbend/gateway/response_watchdog.cpp
@@ -4,25 +4,27 @@
 
 namespace coltsfootbend {
 
-watched_response::watched_response(response_watchdog& guard, backend_instance server, backend_connection_ptr connection)
-    : m_guard(guard)
+watched_response::watched_response(
+    response_watchdog& watchdog, backend_instance server, backend_connection_ptr connection)
+    : m_watchdog(watchdog)
     , m_server(std::move(server))
     , m_connection(std::move(connection))
 {
-    m_guard.m_waits.insert(this);
+    m_watchdog.m_responses.insert(this);
 }
 
-watched_response::~watched_response() { m_guard.m_waits.erase(this); }
+watched_response::~watched_response() { m_watchdog.m_responses.erase(this); }
 
-void response_watchdog::check(const std::function<bool(const backend_instance&)>& isMoving, time_point now)
+void response_watchdog::check(const std::function<bool(const backend_instance&)>& isAdvancing, time_point now)
 {
-    for (auto* wait : m_waits) {
-        const bool isDue = now >= wait->m_inAnyCase || (now >= wait->m_whileMoving && isMoving(wait->m_server));
-        if (!isDue)
+    for (auto* response : m_responses) {
+        const bool isOverdue = now >= response->m_finalDeadline
+            || (now >= response->m_deadlineWhileAdvancing && isAdvancing(response->m_server));
+        if (!isOverdue)
             continue;
-        wait->m_isGivenUp = true;
-        wait->waitOn();
-        wait->m_connection->close();
+        response->m_hasExpired = true;
+        response->clearDeadlines();
+        response->m_connection->close();
     }
 }
 
--- a/coltsfootbend/gateway/response_watchdog.h
+++ b/coltsfootbend/gateway/response_watchdog.h
@@ -1,14 +1,15 @@
 #pragma once
 
-// Gives up waits for servers that are silent while their group makes passes. A silent server of a group that stands
-// still says nothing: all ranks wait for the same one, another server would not answer sooner, and what runs there goes
-// on when the group does. Cheaper than a timer a stream: one look at all waits ten times a second. Not for the limits
-// of a caller, which end a wait in any case.
+// Closes the connection to a backend server that sends nothing although its group of engines makes passes, so that the
+// request can be sent to another server. While the group is stalled, all its ranks wait for the same rank: another
+// server would not respond sooner, and the request continues when the group does. One periodic check of all pending
+// responses (ten times a second) is cheaper than a timer for each stream. The caller's deadline is not handled here; it
+// ends a wait in any case.
 //
-//     watched_response wait(guard, server, connection);
-//     wait.giveUpAt(clock_type::now() + 900ms, clock_type::now() + 1900ms);
-//     auto bytes = connection->readBody(limit);
-//     if (!bytes && wait.isGivenUp()) ...
+//     watched_response response(watchdog, server, connection);
+//     response.setDeadlines(clock_type::now() + 900ms, clock_type::now() + 1900ms);
+//     auto bytes = connection->readBody(deadline);
+//     if (!bytes && response.hasExpired()) ...
 
 #include "coltsfootbend/gateway/backend_connection.h"
 #include "coltsfootbend/gateway/backend_directory.h"
@@ -20,17 +21,19 @@
 
 class watched_response;
 
+// The responses that the exchanges of a process wait for.
 class response_watchdog {
 public:
-    // Closes the connection of every wait that is due and whose server's group moves. O(waits).
-    void check(const std::function<bool(const backend_instance&)>& isMoving, time_point now);
+    // Closes the connections of responses that are past their final deadline, and of those that are past their first
+    // deadline while the group of their server advances (`isAdvancing`). O(responses).
+    void check(const std::function<bool(const backend_instance&)>& isAdvancing, time_point now);
 
 private:
     friend class watched_response;
-    std::set<watched_response*> m_waits;
+    std::set<watched_response*> m_responses;
 };
 
-// One wait, for as long as it exists. Must not outlive its guard.
+// Registers one pending response with the watchdog as long as this object exists. Must not outlive the watchdog.
 class watched_response {
 public:
     watched_response(response_watchdog&, backend_instance, backend_connection_ptr);
@@ -38,24 +41,27 @@
     watched_response(const watched_response&) = delete;
     watched_response& operator=(const watched_response&) = delete;
 
-    // From when on a silent server is given up while its group moves, and in any case. Replaces the former moments.
-    void giveUpAt(time_point whileMoving, time_point inAnyCase)
+    // Sets the time at which the response expires while the group of its server advances, and the time at which it
+    // expires in any case. Replaces the previous deadlines.
+    void setDeadlines(time_point whileAdvancing, time_point finalDeadline)
     {
-        m_whileMoving = whileMoving;
-        m_inAnyCase = inAnyCase;
+        m_deadlineWhileAdvancing = whileAdvancing;
+        m_finalDeadline = finalDeadline;
     }
-    void waitOn() { giveUpAt(time_point::max(), time_point::max()); }
-    bool isGivenUp() const { return m_isGivenUp; }
+    // Lets the response take any time.
+    void clearDeadlines() { setDeadlines(time_point::max(), time_point::max()); }
+    // Returns true when the watchdog has closed the connection.
+    bool hasExpired() const { return m_hasExpired; }
 
 private:
     friend class response_watchdog;
 
-    response_watchdog& m_guard;
+    response_watchdog& m_watchdog;
     const backend_instance m_server;
     const backend_connection_ptr m_connection;
-    time_point m_whileMoving = time_point::max();
-    time_point m_inAnyCase = time_point::max();
-    bool m_isGivenUp = false;
+    time_point m_deadlineWhileAdvancing = time_point::max();
+    time_point m_finalDeadline = time_point::max();
+    bool m_hasExpired = false;
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/response_watchdog_test.cpp
+++ b/coltsfootbend/gateway/response_watchdog_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-// A connection of which only its closing matters.
+// A stream that only records whether it was closed.
 class closable_stream final : public byte_stream {
 public:
     io_result<std::size_t> readSome(boost::asio::mutable_buffer) override { return 0; }
@@ -21,46 +21,46 @@
     bool isClosed = false;
 };
 
-// A server that has been silent since `m_now`; its group moves or stands.
+// Waits for a server that sends nothing from `m_now` on, while its group advances or is stalled.
 class response_watchdog_test : public testing::Test {
 protected:
-    void check(duration after, bool isMoving)
+    void check(duration after, bool isAdvancing)
     {
-        m_guard.check([isMoving](const backend_instance&) { return isMoving; }, m_now + after);
+        m_watchdog.check([isAdvancing](const backend_instance&) { return isAdvancing; }, m_now + after);
     }
 
     time_point m_now = time_point {} + 1h;
     std::shared_ptr<closable_stream> m_stream = std::make_shared<closable_stream>();
-    response_watchdog m_guard;
-    watched_response m_wait { m_guard, {}, std::make_shared<backend_connection>(m_stream) };
+    response_watchdog m_watchdog;
+    watched_response m_response { m_watchdog, {}, std::make_shared<backend_connection>(m_stream) };
 };
 
-TEST_F(response_watchdog_test, ASilentServerOfAMovingGroupIsGivenUp)
+TEST_F(response_watchdog_test, ClosesUnresponsiveServerOfAdvancingGroup)
 {
-    m_wait.giveUpAt(m_now + 900ms, m_now + 1900ms);
+    m_response.setDeadlines(m_now + 900ms, m_now + 1900ms);
     check(800ms, true);
     EXPECT_FALSE(m_stream->isClosed);
     check(900ms, true);
     EXPECT_TRUE(m_stream->isClosed);
-    EXPECT_TRUE(m_wait.isGivenUp());
+    EXPECT_TRUE(m_response.hasExpired());
 }
 
-// What runs there goes on with the group: the server is waited for, but no longer than its caller waits.
-TEST_F(response_watchdog_test, ASilentServerOfAStandingGroupIsWaitedForWhileItsCallerIsThere)
+// A request at a stalled group continues when the group does, so it is waited for, but no longer than its caller waits.
+TEST_F(response_watchdog_test, WaitsForServerOfStalledGroupUntilFinalDeadline)
 {
-    m_wait.giveUpAt(m_now + 900ms, m_now + 1900ms);
+    m_response.setDeadlines(m_now + 900ms, m_now + 1900ms);
     check(1800ms, false);
     EXPECT_FALSE(m_stream->isClosed);
     check(1900ms, false);
     EXPECT_TRUE(m_stream->isClosed);
 }
 
-TEST_F(response_watchdog_test, AnAnswerThatHasBegunIsNotGivenUp)
+TEST_F(response_watchdog_test, DoesNotExpireAfterDeadlinesAreCleared)
 {
-    m_wait.giveUpAt(m_now + 900ms, m_now + 1900ms);
-    m_wait.waitOn();
+    m_response.setDeadlines(m_now + 900ms, m_now + 1900ms);
+    m_response.clearDeadlines();
     check(1h, true);
-    EXPECT_FALSE(m_wait.isGivenUp());
+    EXPECT_FALSE(m_response.hasExpired());
 }
 
 } // namespace
