--- a/coltsfootbend/gateway/exchange_test.cpp
+++ b/coltsfootbend/gateway/exchange_test.cpp
@@ -232,10 +232,10 @@
     onRuntime([](exchange_fixture& fixture) {
         scripted_server server(fixture.runtime, respondWithSuccess);
         fixture.configure(makeRoute(route_kind::AtMostOnce, 1), { &server });
-        const auto& got = fixture.run();
-        EXPECT_EQ(got.status, 200);
-        EXPECT_EQ(got.body, "good");
-        EXPECT_EQ(findHeader(got.headers, "X-Response-Stamp"), "s");
+        const auto& response = fixture.run();
+        EXPECT_EQ(response.status, 200);
+        EXPECT_EQ(response.body, "good");
+        EXPECT_EQ(findHeader(response.headers, "X-Response-Stamp"), "s");
         EXPECT_EQ(headerOf(server.heads.at(0), "X-Expect-Instance"), "b0");
         server.close();
     });
@@ -248,8 +248,8 @@
         scripted_server first(fixture.runtime, closeConnection);
         scripted_server second(fixture.runtime, closeConnection);
         fixture.configure(makeRoute(route_kind::AtMostOnce, 2), { &first, &second });
-        const auto& got = fixture.run();
-        EXPECT_EQ(got.status, 502) << "a 503 would promise that the request has not run";
+        const auto& response = fixture.run();
+        EXPECT_EQ(response.status, 502) << "a 503 would promise that the request has not run";
         EXPECT_EQ(first.heads.size() + second.heads.size(), 1U);
         first.close();
         second.close();
@@ -303,10 +303,10 @@
             (void)stream.writeAll(responseTo(head, 503, "full", "X-Not-Executed: 1\r\n"));
         });
         fixture.configure(makeRoute(route_kind::AtMostOnce, 1), { &server });
-        const auto& got = fixture.run();
-        EXPECT_EQ(got.status, 503);
-        EXPECT_TRUE(findHeader(got.headers, "Retry-After"));
-        EXPECT_FALSE(findHeader(got.headers, "X-Response-Stamp"));
+        const auto& response = fixture.run();
+        EXPECT_EQ(response.status, 503);
+        EXPECT_TRUE(findHeader(response.headers, "Retry-After"));
+        EXPECT_FALSE(findHeader(response.headers, "X-Response-Stamp"));
         server.close();
     });
 }
@@ -351,9 +351,9 @@
             stream.close();
         });
         fixture.configure(makeRoute(route_kind::AtMostOnce, 1), { &server });
-        const auto& got = fixture.run();
-        EXPECT_EQ(got.status, 200);
-        EXPECT_EQ(got.body, "all of it");
+        const auto& response = fixture.run();
+        EXPECT_EQ(response.status, 200);
+        EXPECT_EQ(response.body, "all of it");
         server.close();
     });
 }
@@ -386,10 +386,10 @@
         scripted_server first(fixture.runtime, script);
         scripted_server second(fixture.runtime, script);
         fixture.configure(makeRoute(route_kind::Stream, 2, true), { &first, &second });
-        const auto& got = fixture.run();
-        EXPECT_EQ(got.status, 200);
-        EXPECT_EQ(got.body, event(1) + event(2) + event(3) + event(4));
-        EXPECT_TRUE(got.isComplete);
+        const auto& response = fixture.run();
+        EXPECT_EQ(response.status, 200);
+        EXPECT_EQ(response.body, event(1) + event(2) + event(3) + event(4));
+        EXPECT_TRUE(response.isComplete);
         EXPECT_EQ(resumedAfter, (std::vector<std::string> { "", "2" }));
         first.close();
         second.close();
@@ -404,10 +404,10 @@
             stream.close();
         });
         fixture.configure(makeRoute(route_kind::Stream, 2, false), { &server });
-        const auto& got = fixture.run();
-        EXPECT_EQ(got.body, event(1));
-        EXPECT_FALSE(got.isComplete);
-        EXPECT_TRUE(got.isAborted);
+        const auto& response = fixture.run();
+        EXPECT_EQ(response.body, event(1));
+        EXPECT_FALSE(response.isComplete);
+        EXPECT_TRUE(response.isAborted);
         server.close();
     });
 }
@@ -426,9 +426,9 @@
         scripted_server second(fixture.runtime, script);
         fixture.configure(makeRoute(route_kind::Stream, 2, true), { &first, &second });
         const auto startedAt = clock_type::now();
-        const auto& got = fixture.run();
-        EXPECT_EQ(got.body, event(1) + event(2));
-        EXPECT_TRUE(got.isComplete);
+        const auto& response = fixture.run();
+        EXPECT_EQ(response.body, event(1) + event(2));
+        EXPECT_TRUE(response.isComplete);
         EXPECT_LT(clock_type::now() - startedAt, 2s) << "callers give up after two seconds without an event";
         first.close();
         second.close();
@@ -460,10 +460,10 @@
         auto longer = makeRoute(route_kind::Stream, 2, true);
         longer.timeout = 8s;
         fixture.configure(longer, { &first, &second });
-        const auto& got = fixture.run("r1", "8000");
-        EXPECT_EQ(got.body, event(1) + event(2) + event(3) + event(4) + event(5));
-        EXPECT_TRUE(got.isComplete);
-        EXPECT_FALSE(got.isAborted);
+        const auto& response = fixture.run("r1", "8000");
+        EXPECT_EQ(response.body, event(1) + event(2) + event(3) + event(4) + event(5));
+        EXPECT_TRUE(response.isComplete);
+        EXPECT_FALSE(response.isAborted);
         fixture.runtime.sleepFor(700ms); // Lets the scripts end before their servers are closed.
         first.close();
         second.close();
@@ -522,9 +522,9 @@
 TEST(Exchange, RefusesWithRetryAfterWithoutConfiguration)
 {
     onRuntime([](exchange_fixture& fixture) {
-        const auto& got = fixture.run();
-        EXPECT_EQ(got.status, 503);
-        EXPECT_TRUE(findHeader(got.headers, "Retry-After"));
+        const auto& response = fixture.run();
+        EXPECT_EQ(response.status, 503);
+        EXPECT_TRUE(findHeader(response.headers, "Retry-After"));
     });
 }
 
@@ -539,9 +539,9 @@
         fixture.configure(makeRoute(route_kind::Stream, 1, true), { &server });
         fixture.context->picker.receiveReport(
             server.address(), { .running = 1, .group = "g", .epoch = 1, .step = 5, .ranks = 2 }, clock_type::now());
-        const auto& got = fixture.run();
-        EXPECT_EQ(got.status, 503);
-        EXPECT_GT(std::stod(findHeader(got.headers, "Retry-After").value_or("0")), 5);
+        const auto& response = fixture.run();
+        EXPECT_EQ(response.status, 503);
+        EXPECT_GT(std::stod(findHeader(response.headers, "Retry-After").value_or("0")), 5);
         EXPECT_FALSE(fixture.context->picker.hasOpenServer(service, clock_type::now()));
         server.close();
     });
--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -13,25 +13,32 @@
 
 constexpr int statusReady = 200;
 constexpr int statusNotReady = 503;
-// Agents tell their load for three seconds after a subscription, so one lost datagram does no harm.
-constexpr std::chrono::milliseconds subscribeEvery { 1000 };
-constexpr std::chrono::milliseconds maintainEvery { 1000 };
-// Agents speak this often, so that nothing is seen sooner.
-constexpr std::chrono::milliseconds groupLookEvery { 100 };
-// What has changed in the deployment is told sooner, since others may hear of it in no other way; a series of changes
-// goes into one message.
-constexpr std::chrono::milliseconds newsLookEvery { 100 };
-// The platform looks at readiness every second and stops sending connections after two misses.
-constexpr std::chrono::milliseconds rotationDelay { 2600 };
-constexpr std::chrono::milliseconds leaveLookEvery { 20 };
-// Left before the process is killed, for the last answers to be sent.
+// Interval between two subscriptions. An agent reports its load for three seconds after a subscription, so one lost
+// datagram does no harm.
+constexpr std::chrono::milliseconds subscribeInterval { 1000 };
+// Interval at which expired entries are dropped and stale idle connections are closed.
+constexpr std::chrono::milliseconds maintenanceInterval { 1000 };
+// Interval of the checks for stalled groups and unresponsive servers. Agents report as often, so a shorter one would
+// not detect anything sooner.
+constexpr std::chrono::milliseconds groupCheckInterval { 100 };
+// Interval at which changes of the deployment are looked for between two subscriptions. They are reported early,
+// because other processes may have no other source; a series of changes is reported in one message.
+constexpr std::chrono::milliseconds updatePollInterval { 100 };
+// Time for which a leaving gateway still accepts connections: the platform checks readiness every second and stops
+// routing connections to the gateway after two failed checks.
+constexpr std::chrono::milliseconds readinessPropagationDelay { 2600 };
+// Interval at which a leaving gateway checks whether all requests have ended.
+constexpr std::chrono::milliseconds leavePollInterval { 20 };
+// Time kept free before the process is killed, for sending the last responses.
 constexpr std::chrono::milliseconds leaveMargin { 300 };
-// Until agents say how many gateways there are: careful, for the retry budget is shared by all.
-constexpr std::uint32_t assumedGateways = 48;
-// Agents say ten times a second who follows the store; some may not be heard for a while.
-constexpr std::chrono::milliseconds dutyKnownFor { 1000 };
-// What of the shared budget is used: requests are counted differently by those who set it, and gateways come and go.
-constexpr double usedShareOfBudget = 0.7;
+// Number of gateways assumed until agents report it. High, because all gateways share the retry budget.
+constexpr std::uint32_t initialGatewayCount = 48;
+// Validity of a duty that an agent assigned. Agents assign duties ten times a second, but some may be unreachable for a
+// while.
+constexpr std::chrono::milliseconds dutyValidity { 1000 };
+// Share of the shared retry budget that the gateways use. The rest is a margin, because operators count requests
+// differently and the number of gateways changes.
+constexpr double usedBudgetShare = 0.7;
 
 } // namespace
 
@@ -40,7 +47,7 @@
     : m_runtime(runtime)
     , m_settings(settings)
     , m_dialect(std::move(dialect))
-    , m_gateways(assumedGateways)
+    , m_gatewayCount(initialGatewayCount)
 {
 }
 
@@ -55,15 +62,15 @@
         return tl::unexpected(!watch ? watch.error() : (!metrics ? metrics.error() : peers.error()));
     m_watch = *watch;
     m_metrics = *metrics;
-    auto news = datagram_socket::open(m_runtime, m_settings.peers);
-    if (!news)
-        return tl::unexpected(news.error());
-    m_news = std::move(*news);
+    auto socket = datagram_socket::open(m_runtime, m_settings.peers);
+    if (!socket)
+        return tl::unexpected(socket.error());
+    m_socket = std::move(*socket);
     m_agents = std::make_unique<agent_directory>(*m_watch, m_settings.peers.port);
-    const auto saidItLeaves
+    const auto announcedLeaving
         = [this](const backend_server& server) { return m_context->picker.notices().isLeaving(server.instance()); };
     m_quarantine = std::make_unique<quarantine_network>(m_runtime, m_settings, *m_watch, *m_agents, (*peers)->client(),
-        saidItLeaves, kernel.find<crash_archive>("crash_archive"), *m_news);
+        announcedLeaving, kernel.find<crash_archive>("crash_archive"), *m_socket);
     m_context = std::make_unique<gateway_context>(gateway_context { .runtime = m_runtime,
         .dialect = *m_dialect,
         .metrics = *m_metrics,
@@ -76,26 +83,26 @@
         .catalogue = {},
         .onNotice = {} });
     m_permits
-        = std::make_unique<permit_network>(m_runtime, m_settings.vm, m_context->picker.notices(), *m_agents, *m_news);
-    m_permits->setGateways(m_gateways);
+        = std::make_unique<permit_network>(m_runtime, m_settings.vm, m_context->picker.notices(), *m_agents, *m_socket);
+    m_permits->setGateways(m_gatewayCount);
     m_context->picker.onPermitRequest(
         [this](const backend_server& server, std::uint64_t serial) { m_permits->ask(server, serial); });
     m_context->onNotice = [this](const backend_server& server) { m_permits->tell(server); };
     m_watch->onCatalogue([this](const catalogue_ptr& next) {
-        m_hasNews = true;
+        m_hasUpdates = true;
         applyCatalogue(next);
     });
     m_watch->onServers([this] {
-        m_hasNews = true;
+        m_hasUpdates = true;
         applyServers();
     });
-    m_watch->onStoreChecked([this] { m_hasNews = true; });
-    m_metrics->gauge("requests_running", [this] { return static_cast<double>(m_running); });
+    m_watch->onStoreChecked([this] { m_hasUpdates = true; });
+    m_metrics->gauge("requests_running", [this] { return static_cast<double>(m_runningRequests); });
     m_metrics->gauge("configuration_version",
         [this] { return m_context->catalogue ? static_cast<double>(m_context->catalogue->version().number()) : 0.0; });
     m_runtime.spawn([this] { subscribeLoop(); });
     m_runtime.spawn([this] { receiveLoop(); });
-    m_runtime.spawn([this] { maintainLoop(); });
+    m_runtime.spawn([this] { maintenanceLoop(); });
     m_runtime.spawn([this] { groupLoop(); });
     return listen();
 }
@@ -107,13 +114,13 @@
         [this](const http_request& request, http_responder& responder) { serveHealth(request, responder); });
     if (!health)
         return tl::unexpected(health.error());
-    m_health = *health;
+    m_healthListener = *health;
     auto callers
         = listener::open(m_runtime, { .address = gateway.callers, .tls = {}, .maxConnections = gateway.maxConnections },
             [this](const byte_stream_ptr& stream) { serveCaller(stream); });
     if (!callers)
         return tl::unexpected(callers.error());
-    m_callers = *callers;
+    m_callerListener = *callers;
     return {};
 }
 
@@ -122,11 +129,11 @@
     serveHttp(
         m_runtime, stream, m_serverOptions,
         [this](const http_request& request, http_responder& responder) {
-            ++m_running;
+            ++m_runningRequests;
             exchange(*m_context, request, responder).run();
-            --m_running;
+            --m_runningRequests;
         },
-        [this] { return m_leaving; }, &m_idle);
+        [this] { return m_leaving; }, &m_idleConnections);
 }
 
 bool gateway_service::isReady() const { return m_watch->catalogue() && m_watch->knowsServers() && !m_leaving; }
@@ -139,9 +146,9 @@
         return;
     }
     const bool ready = isReady();
-    if (ready != m_saidReady)
+    if (ready != m_loggedReady)
         logEvent(log_event::ReadinessChanged, std::string("ready=") + (ready ? "yes" : "no"));
-    m_saidReady = ready;
+    m_loggedReady = ready;
     (void)responder.send({ { ready ? statusReady : statusNotReady, {} }, ready ? "ready\n" : "not ready\n" });
 }
 
@@ -174,9 +181,10 @@
 {
     const auto& shared = m_settings.gateway->retries;
     const double window = toMilliseconds(shared.window) / 1000;
-    // A window may see a full bucket and what comes back meanwhile, so each is half of the share.
-    const double reserve = std::max(1.0, usedShareOfBudget * shared.extra / m_gateways / 2);
-    const retry_budget::options options { .retriesPerSuccess = usedShareOfBudget * shared.ratio,
+    // Within one window a gateway can spend a full bucket and as much as refills meanwhile, so each is half of its
+    // share.
+    const double reserve = std::max(1.0, usedBudgetShare * shared.extra / m_gatewayCount / 2);
+    const retry_budget::options options { .retriesPerSuccess = usedBudgetShare * shared.ratio,
         .reserve = reserve,
         .most = reserve,
         .reservePerSecond = reserve / window };
@@ -197,25 +205,25 @@
             .version = {},
             .content = wire::load_subscribe { m_watch->knowledge() } });
         for (const auto& agent : m_agents->all())
-            m_news->send(agent, bytes);
-        const auto nextAt = clock_type::now() + subscribeEvery;
-        m_hasNews = false;
-        while (clock_type::now() < nextAt && !m_hasNews)
-            m_runtime.sleepFor(newsLookEvery);
+            m_socket->send(agent, bytes);
+        const auto nextAt = clock_type::now() + subscribeInterval;
+        m_hasUpdates = false;
+        while (clock_type::now() < nextAt && !m_hasUpdates)
+            m_runtime.sleepFor(updatePollInterval);
     }
 }
 
 void gateway_service::receiveLoop()
 {
-    while (auto got = m_news->receive()) {
-        wire::message_decoder decoder(got->bytes.size() + 1);
-        decoder.feed(got->bytes);
+    while (auto datagram = m_socket->receive()) {
+        wire::message_decoder decoder(datagram->bytes.size() + 1);
+        decoder.feed(datagram->bytes);
         const auto message = decoder.next();
         const auto* content = message && *message ? &(*message)->content : nullptr;
-        if (const auto* news = content ? std::get_if<wire::load_news>(content) : nullptr)
-            hearLoad(got->sender, *news);
+        if (const auto* load = content ? std::get_if<wire::load_news>(content) : nullptr)
+            receiveLoad(datagram->sender, *load);
         else if (const auto* crashes = content ? std::get_if<wire::crash_report>(content) : nullptr)
-            m_quarantine->hear(got->sender, *crashes);
+            m_quarantine->hear(datagram->sender, *crashes);
         else if (const auto* permit = content ? std::get_if<wire::permit_reply>(content) : nullptr)
             m_permits->hear(*permit);
         else
@@ -223,56 +231,57 @@
     }
 }
 
-void gateway_service::hearLoad(const endpoint& sender, const wire::load_news& news)
+void gateway_service::receiveLoad(const endpoint& sender, const wire::load_news& update)
 {
     const auto now = clock_type::now();
     m_watch->meetPeer(sender);
-    hearOfStore(news);
-    m_quarantine->hearDigest(sender, news.crashes);
+    receiveStoreStatus(update);
+    m_quarantine->hearDigest(sender, update.crashes);
     m_agents->heard(sender, now);
-    m_permits->hear(news.limits);
-    if (const auto informed = parseEndpoint(news.newsAt))
-        m_watch->hearOfNews(*informed);
-    const auto engine = parseEndpoint(news.engine);
+    m_permits->hear(update.limits);
+    if (const auto informedGateway = parseEndpoint(update.newsAt))
+        m_watch->hearOfNews(*informedGateway);
+    const auto engine = parseEndpoint(update.engine);
     if (!engine)
         return;
     m_context->picker.receiveReport(*engine,
-        { .life = backend_life(news.life),
-            .running = news.running,
-            .waiting = news.waiting,
-            .pace = news.pace,
-            .group = news.group,
-            .epoch = news.epoch,
-            .step = news.step,
-            .ranks = news.ranks,
-            .isOpen = news.isOpen },
+        { .life = backend_life(update.life),
+            .running = update.running,
+            .waiting = update.waiting,
+            .pace = update.pace,
+            .group = update.group,
+            .epoch = update.epoch,
+            .step = update.step,
+            .ranks = update.ranks,
+            .isOpen = update.isOpen },
         now);
-    if (news.subscribers > 0 && news.subscribers != m_gateways && m_context->catalogue) {
-        m_gateways = news.subscribers;
-        m_context->picker.setGatewayCount(m_gateways);
-        m_permits->setGateways(m_gateways);
+    if (update.subscribers > 0 && update.subscribers != m_gatewayCount && m_context->catalogue) {
+        m_gatewayCount = update.subscribers;
+        m_context->picker.setGatewayCount(m_gatewayCount);
+        m_permits->setGateways(m_gatewayCount);
         applyBudgets();
     }
 }
 
-void gateway_service::hearOfStore(const wire::load_news& news)
+void gateway_service::receiveStoreStatus(const wire::load_news& update)
 {
     const auto now = clock_type::now();
     auto current = wire::store_duty::Unknown;
-    // An agent that was just started has heard few gateways, and takes each for one that is needed.
+    // Of the duties that are still valid the last one in this list applies. An agent that has just started knows few
+    // gateways and assigns each of them more than it needs to do.
     for (const auto duty : { wire::store_duty::Follow, wire::store_duty::Check, wire::store_duty::Rest }) {
-        if (news.duty == static_cast<std::uint32_t>(duty))
-            m_dutyUntil[duty] = now + dutyKnownFor;
-        if (now < m_dutyUntil[duty])
+        if (update.duty == static_cast<std::uint32_t>(duty))
+            m_dutyValidUntil[duty] = now + dutyValidity;
+        if (now < m_dutyValidUntil[duty])
             current = duty;
     }
-    m_watch->hearConfirmations(news.configuration, news.servers, current);
+    m_watch->hearConfirmations(update.configuration, update.servers, current);
 }
 
 void gateway_service::groupLoop()
 {
     while (!m_stopped) {
-        m_runtime.sleepFor(groupLookEvery);
+        m_runtime.sleepFor(groupCheckInterval);
         const auto now = clock_type::now();
         m_context->watchdog.check(
             [this, now](const backend_instance& server) { return m_context->picker.isGroupOpen(server, now); }, now);
@@ -283,10 +292,10 @@
 void gateway_service::logGroups(time_point now)
 {
     for (const auto& group : m_context->picker.groups(now)) {
-        auto& logged = m_loggedGroups[group.deployment.text() + "/" + group.group];
-        if (logged == group.condition)
+        auto& loggedCondition = m_loggedGroups[group.deployment.text() + "/" + group.group];
+        if (loggedCondition == group.condition)
             continue;
-        logged = group.condition;
+        loggedCondition = group.condition;
         logEvent(log_event::GroupCondition,
             "deployment=" + group.deployment.text() + " group=" + group.group
                 + " condition=" + toString(group.condition)
@@ -297,10 +306,10 @@
     }
 }
 
-void gateway_service::maintainLoop()
+void gateway_service::maintenanceLoop()
 {
     while (!m_stopped) {
-        m_runtime.sleepFor(maintainEvery);
+        m_runtime.sleepFor(maintenanceInterval);
         m_quarantine->expire();
         const auto now = clock_type::now();
         m_agents->expire(now);
@@ -313,18 +322,19 @@
     }
 }
 
-// Not ready at once, so that no new connections come; what comes meanwhile is served, and what is under way ends.
+// Reports not ready at once, so that no new connections are routed here, serves the requests that still arrive, and
+// waits for those in progress.
 void gateway_service::leave(time_point deadline)
 {
     m_leaving = true;
     const auto limit = deadline - leaveMargin;
-    const auto rotatedOutAt = std::min(limit, clock_type::now() + rotationDelay);
-    m_runtime.sleepUntil(rotatedOutAt);
-    m_callers->close();
-    m_idle.closeAll();
-    while (m_running > 0 && clock_type::now() < limit) {
-        m_runtime.sleepFor(leaveLookEvery);
-        m_idle.closeAll();
+    const auto stopAcceptingAt = std::min(limit, clock_type::now() + readinessPropagationDelay);
+    m_runtime.sleepUntil(stopAcceptingAt);
+    m_callerListener->close();
+    m_idleConnections.closeAll();
+    while (m_runningRequests > 0 && clock_type::now() < limit) {
+        m_runtime.sleepFor(leavePollInterval);
+        m_idleConnections.closeAll();
     }
 }
 
@@ -332,9 +342,9 @@
 {
     m_stopped = true;
     m_permits->stop();
-    m_news->close();
-    m_callers->close();
-    m_health->close();
+    m_socket->close();
+    m_callerListener->close();
+    m_healthListener->close();
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/gateway_service.h
+++ b/coltsfootbend/gateway/gateway_service.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// The entry of a deployment: takes callers' requests and sends each straight to a backend server. Applies what
-// `deployment_watch` believes, learns engines' load from the rank agents beside them, and says whether it is ready.
-// Found through the kernel as "gateway".
+// The gateway of a deployment: accepts callers' requests and sends each directly to a backend server. Applies the
+// configuration and the list of servers from `deployment_watch`, receives the engines' load from the rank agents beside
+// them, and reports readiness and metrics over HTTP. Registered with the kernel as "gateway". `gateway/exchange.h`
+// serves the single requests.
 //
 //     kernel.add(std::make_unique<gateway_service>(runtime, settings, dialect));
 
@@ -15,6 +16,7 @@
 
 namespace coltsfootbend {
 
+// Owns the state of one gateway process and runs its listeners and periodic work on fibers.
 class gateway_service final : public service {
 public:
     gateway_service(fiber_runtime&, const daemon_settings&, std::unique_ptr<request_dialect>);
@@ -25,10 +27,10 @@
     void leave(time_point deadline) override;
     void stop() override;
 
-    // Takes over settings that changed.
+    // Applies settings that changed after the start.
     void applySettings();
 
-    // True when callers' requests can be served.
+    // Returns true when the gateway knows the configuration and the servers, and is not leaving.
     bool isReady() const;
 
 private:
@@ -37,14 +39,17 @@
     void applyBudgets();
     result<void> listen();
     void serveCaller(const byte_stream_ptr&);
+    // Responds to requests for readiness and metrics.
     void serveHealth(const http_request&, http_responder&) const;
+    // Subscribes to the load of all engines' agents, and reports to them what this gateway knows of the deployment.
     void subscribeLoop();
+    // Receives the agents' datagrams.
     void receiveLoop();
-    void hearLoad(const endpoint& sender, const wire::load_news&);
-    // When other gateways have heard of the store, and who asks it for all.
-    void hearOfStore(const wire::load_news&);
-    void maintainLoop();
-    // Looks at what changes with time alone: groups that stand, servers that are silent.
+    void receiveLoad(const endpoint& sender, const wire::load_news&);
+    // Records when other gateways last confirmed their tables, and which part this gateway has in following the store.
+    void receiveStoreStatus(const wire::load_news&);
+    void maintenanceLoop();
+    // Checks conditions that change with time alone: stalled groups and unresponsive servers.
     void groupLoop();
     void logGroups(time_point now);
 
@@ -58,20 +63,21 @@
     std::unique_ptr<gateway_context> m_context;
     std::unique_ptr<permit_network> m_permits;
     http_server_options m_serverOptions;
-    idle_connections m_idle;
-    std::unique_ptr<datagram_socket> m_news;
-    std::shared_ptr<listener> m_callers;
-    std::shared_ptr<listener> m_health;
-    std::size_t m_running = 0; // Requests under way.
-    std::uint32_t m_gateways; // As far as known, this one included.
+    idle_connections m_idleConnections;
+    std::unique_ptr<datagram_socket> m_socket;
+    std::shared_ptr<listener> m_callerListener;
+    std::shared_ptr<listener> m_healthListener;
+    std::size_t m_runningRequests = 0; // Number of requests in progress.
+    std::uint32_t m_gatewayCount; // Number of gateways, including this one, according to the agents.
     bool m_leaving = false;
-    // The deployment has changed since the agents were last told of it.
-    bool m_hasNews = false;
-    // Until when what agents said last of this gateway's part in following the store holds.
-    std::map<wire::store_duty, time_point> m_dutyUntil;
+    // The deployment has changed since it was last reported to the agents.
+    bool m_hasUpdates = false;
+    // End of validity of each duty (following or checking the store, or neither) that an agent assigned to this
+    // gateway.
+    std::map<wire::store_duty, time_point> m_dutyValidUntil;
     bool m_stopped = false;
-    std::map<std::string, group_condition> m_loggedGroups; // By deployment and group.
-    mutable bool m_saidReady = false;
+    std::map<std::string, group_condition> m_loggedGroups; // Keyed by "deployment/group".
+    mutable bool m_loggedReady = false;
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/request_dialect.h
+++ b/coltsfootbend/gateway/request_dialect.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// What headers mean between callers, the gateway and backend servers. The gateway decides on these typed facts; an
-// adapter knows the names. Not for framing, which `net/http.h` and `gateway/backend_connection.h` do.
+// Translation between HTTP headers and the typed values by which the gateway makes its decisions. The gateway knows
+// this interface only; the platform's adapter implements it and knows the names of the headers. `net/http.h` and
+// `gateway/backend_connection.h` do the framing.
 //
-//     const caller_facts facts = dialect.readCaller(request);
-//     const http_request onward = dialect.toBackend(request, call);
-//     const backend_facts answer = dialect.readBackend(head);
+//     const caller_facts caller = dialect.readCaller(request);
+//     const http_request forwarded = dialect.toBackend(request, call);
+//     const backend_facts response = dialect.readBackend(head);
 
 #include "coltsfootbend/base/id.h"
 #include "coltsfootbend/base/time.h"
@@ -19,61 +20,75 @@
 
 namespace coltsfootbend {
 
+// What a caller states in the headers of a request.
 struct caller_facts {
-    // The caller's name for this attempt; empty when it gave none.
+    // The caller's identifier for this attempt of a request; empty when the caller sent none.
     std::string requestId;
-    // How long the caller will wait, where it says so.
+    // How long the caller still waits for the response; none when it does not state it.
     std::optional<duration> timeLeft;
-    // None when it was not given exactly once.
+    // The caller's API key; none unless the request has exactly one.
     std::optional<std::string> key;
-    // The caller has the events of a stream up to this one.
+    // For a resumed stream: the id of the last event that the caller received.
     std::optional<std::uint64_t> lastEvent;
+    // Number of tokens in the prompt; 0 when not stated.
     std::uint32_t promptTokens = 0;
+    // Limit for the number of tokens in the response; 0 when not stated.
     std::uint32_t mostAnswerTokens = 0;
 };
 
-// One sending of a request to one backend server.
+// What the gateway states in the headers when it sends a request to a backend server.
 struct backend_call {
-    backend_id server;
-    customer_id customer; // Empty without one.
-    duration timeLeft {};
+    backend_id server; // The intended server; any other server refuses the request.
+    customer_id customer; // Empty for callers without a customer, on open routes.
+    duration timeLeft {}; // Time until the request's deadline.
     std::uint32_t priority = 0; // 0 comes first.
+    // For a resumed stream: the id of the last event that the caller has.
     std::optional<std::uint64_t> resumeAfter;
 };
 
+// Number of requests that a backend server is running and that wait there.
 struct server_load {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
 };
 
+// What a backend server states in the headers of a response.
 struct backend_facts {
-    // The server proves that it did not run the request.
+    // The response proves that the server did not run the request.
     bool isNotRun = false;
-    // The server of this address is not the one that was meant.
+    // The server at this address is not the intended one (421 Misdirected Request).
     bool isOtherServer = false;
-    // For a refusal: the server that kept the request from running, itself or another rank of its group.
+    // For a refusal: address of the server that prevented the request from running, which is the refusing server itself
+    // or another rank of its group.
     std::optional<endpoint> atFault;
-    // Bears the server's signature, without which a success is not to be believed.
+    // The response has the server's signature. A success without it is rejected.
     bool isSigned = false;
-    // Was changed on the way: bodies are asked for without coding.
+    // The response has a content encoding. The gateway requests none, so an intermediary has changed the response.
     bool isEncoded = false;
-    // Whose answer it is; empty when it does not say.
+    // Identifier of the request to which this is the response; empty when not stated.
     std::string requestId;
+    // The server's load; none when not stated.
     std::optional<server_load> load;
+    // The limit, backoff or leaving that the server announces.
     backend_notice notice;
-    // For how long the server keeps the connection when idle, where it says so.
+    // How long the server keeps an idle connection open; none when not stated.
     std::optional<duration> keptFor;
 };
 
+// Reads and writes the headers of requests and responses. Implementations are stateless.
 class request_dialect {
 public:
     virtual ~request_dialect() = default;
+    // Reads the headers of a caller's request.
     virtual caller_facts readCaller(const http_request&) const = 0;
+    // Returns the request that is sent to a backend server: without the headers that concern the caller's connection
+    // only, and with those of the call.
     virtual http_request toBackend(const http_request&, const backend_call&) const = 0;
+    // Reads the headers of a backend server's response.
     virtual backend_facts readBackend(const http_head&) const = 0;
-    // Returns the header that says whose answer an own one is.
+    // Returns the header that identifies the request to which the gateway itself responds.
     virtual http_header requestIdHeader(const std::string& id) const = 0;
-    // Returns the headers of a server's answer that the caller gets.
+    // Returns the headers of a server's response that are passed on to the caller.
     virtual std::vector<http_header> toCaller(const http_head&) const = 0;
 };
 
