--- a/coltsfootbend/gateway/deployment_trial.h
+++ b/coltsfootbend/gateway/deployment_trial.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// For tests of how processes follow the deployment: several of them on one thread, each with a store of its own, which
-// may refuse, fall silent or swallow calls, and with real connections between them.
+// Support for tests of how processes follow the deployment: runs several processes on one thread, each with a fake
+// store of its own that can refuse calls or leave them unanswered, and with real connections between the processes.
 //
 //     onRuntime([](fiber_runtime& runtime, model_processes& processes) {
 //         auto& gateway = start(runtime, processes, { "127.0.0.1", 27340 }, {});
@@ -17,21 +17,23 @@
 
 namespace coltsfootbend {
 
+// All tables that a process follows.
 inline const std::set<watched_table> bothTables { watched_table::Configuration, watched_table::BackendServers };
 
-// A store with one configuration whose version can be raised; it may refuse a VM.
+// Fake store as one process sees it: one row in each table, whose value is the table's version. Tests raise the
+// versions and switch on faults.
 struct model_store {
-    // What makes the configuration as large as one with many routes.
+    // Appended to the configuration, to make it as large as one with many routes.
     std::string padding;
-    std::uint64_t version = 1; // Of both tables.
-    std::uint64_t serversVersion = 0; // Of the list of servers, where that is higher.
-    std::uint64_t position = 0; // Of the last change of other tables, where that is higher.
-    bool isRefusing = false;
-    bool isSilent = false; // Polls get no answer and no error.
-    // Takes calls about these tables and never answers those taken meanwhile; polls from before stay good.
+    std::uint64_t version = 1; // Version of both tables.
+    std::uint64_t serversVersion = 0; // Version of the list of servers if it is higher than `version`.
+    std::uint64_t position = 0; // Revision of the last change in other tables, reported by polls if it is higher.
+    bool isRefusing = false; // All calls fail.
+    bool isSilent = false; // Polls return no changes until their time is over.
+    // Tables for which new calls are accepted and never answered. Polls that started earlier are not affected.
     std::set<watched_table> swallowed;
-    int forgottenPolls = 0; // Raised to forget the polls that are out: they get no answer any more.
-    int calls = 0;
+    int forgottenPolls = 0; // Raising it makes the polls that are open remain unanswered.
+    int calls = 0; // Number of calls that the store has received.
 
     std::uint64_t versionOf(watched_table table) const
     {
@@ -39,6 +41,7 @@
     }
 };
 
+// Store client of one process, which serves all calls from its fake store.
 class model_client final : public watched_store {
 public:
     model_client(fiber_runtime& runtime, model_store& store)
@@ -51,7 +54,7 @@
     {
         ++m_store.calls;
         if (m_store.swallowed.contains(table))
-            return waitInVain(deadline);
+            return waitWithoutReply(deadline);
         return page(table);
     }
 
@@ -60,12 +63,12 @@
     {
         ++m_store.calls;
         if (m_store.swallowed.contains(table))
-            return waitInVain(deadline, poll);
-        const int forgotten = m_store.forgottenPolls;
+            return waitWithoutReply(deadline, poll);
+        const int generation = m_store.forgottenPolls;
         while (!m_store.isRefusing && (m_store.isSilent || m_store.versionOf(table) <= after)
             && clock_type::now() < waitUntil) {
-            if (forgotten != m_store.forgottenPolls)
-                return waitInVain(deadline, poll);
+            if (generation != m_store.forgottenPolls)
+                return waitWithoutReply(deadline, poll);
             if (poll && poll->isCancelled())
                 return fail(error_kind::Lost, "cancelled");
             m_runtime.sleepFor(std::chrono::milliseconds(2));
@@ -85,8 +88,8 @@
         return row_page { { { toString(table), value, version, false } }, version };
     }
 
-    // Until the caller gives up, or the test ends.
-    result<row_page> waitInVain(time_point deadline, const cancellation* poll = nullptr)
+    // Blocks until the caller gives up or the test ends.
+    result<row_page> waitWithoutReply(time_point deadline, const cancellation* poll = nullptr)
     {
         while (!m_store.isRefusing && clock_type::now() < deadline && !(poll && poll->isCancelled()))
             m_runtime.sleepFor(std::chrono::milliseconds(2));
@@ -97,6 +100,7 @@
     model_store& m_store;
 };
 
+// Decodes a configuration to a catalogue that has only its version. The fake stores list no servers to decode.
 class number_decoder final : public deployment_decoder {
 public:
     result<catalogue_ptr> configuration(const watched_row& row) const override
@@ -108,7 +112,7 @@
     result<backend_server> backend(const watched_row&) const override { return fail(error_kind::BadInput, "none"); }
 };
 
-// One process: its peers' service and its watch.
+// One process: a service for its peers, a fake store, and the deployment watch under test.
 struct model_process {
     model_process(fiber_runtime& runtime, const endpoint& address, deployment_watch::options options)
     {
@@ -123,6 +127,7 @@
         EXPECT_TRUE(core.start());
     }
 
+    // Returns the version of the configuration that the process knows; 0 without one.
     std::uint64_t version() const { return watch->catalogue() ? watch->catalogue()->version().number() : 0; }
 
     model_store store;
@@ -130,10 +135,10 @@
     deployment_watch* watch = nullptr;
 };
 
-// The processes end with the runtime, when no fiber of theirs runs any more.
+// The processes must outlive all of their fibers, so they are destroyed only after the runtime has stopped.
 using model_processes = std::vector<std::unique_ptr<model_process>>;
 
-// Lets every fiber of the processes end.
+// Stops the processes and waits until all of their fibers have ended.
 inline void finish(fiber_runtime& runtime, const model_processes& processes)
 {
     for (const auto& process : processes) {
@@ -151,13 +156,14 @@
     EXPECT_EQ(runtime.fibers(), 1U);
 }
 
-inline void onRuntime(const std::function<void(fiber_runtime&, model_processes&)>& work)
+// Runs `test` on a fiber of a new runtime and stops the processes that it started.
+inline void onRuntime(const std::function<void(fiber_runtime&, model_processes&)>& test)
 {
     std::thread([&] {
         fiber_runtime runtime;
         model_processes processes;
         runtime.spawn([&] {
-            work(runtime, processes);
+            test(runtime, processes);
             finish(runtime, processes);
             runtime.stop();
         });
@@ -165,6 +171,7 @@
     }).join();
 }
 
+// Starts a process whose peer service listens on `address`.
 inline model_process& start(
     fiber_runtime& runtime, model_processes& processes, const endpoint& address, deployment_watch::options options)
 {
@@ -172,7 +179,7 @@
     return *processes.back();
 }
 
-// What a gateway tells its agents, as datagrams do, until `until`.
+// Passes on to `agent` every 100 ms what `gateway` knows, as the gateway's datagrams do, until `until`.
 inline void tellAgent(
     fiber_runtime& runtime, model_process& gateway, const endpoint& address, model_process& agent, time_point until)
 {
@@ -182,7 +189,7 @@
     }
 }
 
-// What this process believes once `limit` has passed, or as soon as it believes `version`.
+// Returns the version that `process` knows as soon as it is at least `version`, or after `limit`.
 inline std::uint64_t versionWithin(
     fiber_runtime& runtime, const model_process& process, std::uint64_t version, duration limit)
 {
@@ -192,17 +199,17 @@
     return process.version();
 }
 
-// What gateways tell each other through `agent`, ten times a second, until `until`. The first `frozen` of them neither
-// speak nor hear.
+// Exchanges through `agent` what the gateways know, ten times a second, until `until`. The first `pausedCount` gateways
+// are paused: they neither send nor receive.
 inline void talkThrough(load_subscribers& agent, fiber_runtime& runtime, const model_processes& gateways,
-    const std::vector<endpoint>& addresses, time_point until, std::size_t frozen = 0)
+    const std::vector<endpoint>& addresses, time_point until, std::size_t pausedCount = 0)
 {
     while (clock_type::now() < until) {
         const auto now = clock_type::now();
-        for (std::size_t i = frozen; i < gateways.size(); ++i)
+        for (std::size_t i = pausedCount; i < gateways.size(); ++i)
             agent.hear(addresses[i], gateways[i]->watch->knowledge(), now + std::chrono::seconds(3), now);
         const auto duties = agent.duties();
-        for (std::size_t i = frozen; i < gateways.size(); ++i) {
+        for (std::size_t i = pausedCount; i < gateways.size(); ++i) {
             auto& watch = *gateways[i]->watch;
             watch.hearConfirmations(agent.configuration(now), agent.servers(now), duties.at(addresses[i]));
             if (const auto* informed = agent.findInformed(agent.all().at(addresses[i])))
@@ -212,6 +219,7 @@
     }
 }
 
+// Exchanges through a new agent what the gateways know, ten times a second, until `until`.
 inline void talkThroughAgent(
     fiber_runtime& runtime, const model_processes& gateways, const std::vector<endpoint>& addresses, time_point until)
 {
--- a/coltsfootbend/gateway/restricted_servers_test.cpp
+++ b/coltsfootbend/gateway/restricted_servers_test.cpp
@@ -1,4 +1,5 @@
-// How a gateway chooses among servers of which some name a limit or rest, and whom it holds or refuses when all do.
+// Tests how the gateway chooses among servers of which some state a rate limit or a backoff, and which requests it
+// holds or refuses when all of them do.
 
 #include "coltsfootbend/gateway/backend_picker.h"
 #include "coltsfootbend/gateway/waiting_policy.h"
@@ -14,11 +15,12 @@
 const deployment_id service("s");
 
 backend_id idOf(int number) { return backend_id("b" + std::to_string(number)); }
-backend_instance lifeOf(int number) { return { idOf(number), {} }; }
+backend_instance instanceOf(int number) { return { idOf(number), {} }; }
 
-class asking_servers_test : public testing::Test {
+// A picker for one deployment with two servers, which records the permit requests that the picker issues.
+class restricted_servers_test : public testing::Test {
 protected:
-    asking_servers_test()
+    restricted_servers_test()
     {
         catalogue::contents contents;
         contents.deployments = { { service, "", 0, std::nullopt } };
@@ -28,19 +30,19 @@
             servers[idOf(i)] = { idOf(i), service, { "10.0.0." + std::to_string(i), 80 }, {}, 4, false, {} };
         m_picker.setServers(servers, known);
         m_picker.onPermitRequest([this](const backend_server& server, std::uint64_t serial) {
-            m_wishes.insert(server.id);
-            m_lastWish = serial;
+            m_requestedServers.insert(server.id);
+            m_lastSerial = serial;
         });
     }
 
-    void limit(int number, double perSecond)
+    void setLimit(int number, double perSecond)
     {
-        (void)m_picker.notices().hearAnswer(lifeOf(number), { .requestsPerSecond = perSecond }, m_now, m_now);
+        (void)m_picker.notices().hearAnswer(instanceOf(number), { .requestsPerSecond = perSecond }, m_now, m_now);
     }
 
-    void rest(int number, duration length)
+    void setBackoff(int number, duration length)
     {
-        (void)m_picker.notices().hearAnswer(lifeOf(number), { .rest = length }, m_now, m_now);
+        (void)m_picker.notices().hearAnswer(instanceOf(number), { .rest = length }, m_now, m_now);
     }
 
     pick_request request(std::uint32_t priority = 5) const
@@ -50,69 +52,69 @@
 
     backend_picker m_picker { {}, 1 };
     time_point m_now = time_point {} + 1h;
-    std::set<backend_id> m_wishes;
-    std::uint64_t m_lastWish = 0;
+    std::set<backend_id> m_requestedServers;
+    std::uint64_t m_lastSerial = 0;
 };
 
-TEST_F(asking_servers_test, AServerThatNamesALimitGetsNothingWithoutAPermit)
+TEST_F(restricted_servers_test, SendsNothingToLimitedServerWithoutPermit)
 {
-    limit(1, 1);
+    setLimit(1, 1);
     for (int i = 0; i < 20; ++i)
         EXPECT_EQ(m_picker.pick(request(), m_now)->server.id, idOf(2));
-    EXPECT_EQ(m_wishes, (std::set { idOf(1) })) << "a permit is asked for, once";
-    m_picker.notices().grant(idOf(1), m_lastWish, m_now);
-    EXPECT_TRUE(m_picker.notices().take(lifeOf(1), m_now));
-    EXPECT_FALSE(m_picker.notices().take(lifeOf(1), m_now)) << "one permit is for one request";
+    EXPECT_EQ(m_requestedServers, (std::set { idOf(1) })) << "one permit request is issued";
+    m_picker.notices().grant(idOf(1), m_lastSerial, m_now);
+    EXPECT_TRUE(m_picker.notices().take(instanceOf(1), m_now));
+    EXPECT_FALSE(m_picker.notices().take(instanceOf(1), m_now)) << "a permit covers one request";
 }
 
-TEST_F(asking_servers_test, ASuspectedServerIsAskedRatherThanNobodyWhereAllOthersAreLimited)
+TEST_F(restricted_servers_test, PicksSuspectedServerWhenAllOthersAreLimited)
 {
-    limit(1, 1);
-    m_picker.onRequestFinished(lifeOf(2), backend_outcome::Broken, {}, m_now);
+    setLimit(1, 1);
+    m_picker.onRequestFinished(instanceOf(2), backend_outcome::Broken, {}, m_now);
     const auto picked = m_picker.pick(request(), m_now);
     ASSERT_TRUE(picked);
     EXPECT_EQ(picked->server.id, idOf(2));
 }
 
-TEST_F(asking_servers_test, APermitThatComesLateOrIsNotUsedIsLost)
+TEST_F(restricted_servers_test, LateOrUnusedPermitExpires)
 {
-    limit(1, 1);
+    setLimit(1, 1);
     (void)m_picker.pick(request(), m_now);
-    m_picker.notices().grant(idOf(1), m_lastWish, m_now + 2s);
-    EXPECT_FALSE(m_picker.notices().mayTake(lifeOf(1), m_now + 2s)) << "the wish was given up";
+    m_picker.notices().grant(idOf(1), m_lastSerial, m_now + 2s);
+    EXPECT_FALSE(m_picker.notices().mayTake(instanceOf(1), m_now + 2s)) << "the permit request has expired";
     (void)m_picker.pick(request(), m_now + 3s);
-    m_picker.notices().grant(idOf(1), m_lastWish, m_now + 3s);
-    EXPECT_TRUE(m_picker.notices().mayTake(lifeOf(1), m_now + 3s));
-    EXPECT_FALSE(m_picker.notices().mayTake(lifeOf(1), m_now + 4s));
+    m_picker.notices().grant(idOf(1), m_lastSerial, m_now + 3s);
+    EXPECT_TRUE(m_picker.notices().mayTake(instanceOf(1), m_now + 3s));
+    EXPECT_FALSE(m_picker.notices().mayTake(instanceOf(1), m_now + 4s));
 }
 
-TEST_F(asking_servers_test, WhereAllAreLimitedTheMoreUrgentGoFirst)
+TEST_F(restricted_servers_test, MoreUrgentRequestsGetPermitsFirst)
 {
-    limit(1, 1);
-    limit(2, 1);
-    auto usual = request(5);
-    EXPECT_EQ(m_picker.pick(usual, m_now).error().reason, refusal_reason::Limited);
-    usual.place = m_picker.queueOf(service).join(5);
+    setLimit(1, 1);
+    setLimit(2, 1);
+    auto normal = request(5);
+    EXPECT_EQ(m_picker.pick(normal, m_now).error().reason, refusal_reason::Limited);
+    normal.place = m_picker.queueOf(service).join(5);
     auto urgent = request(1);
     urgent.place = m_picker.queueOf(service).join(1);
-    (void)m_picker.pick(usual, m_now);
-    (void)m_picker.pick(usual, m_now);
+    (void)m_picker.pick(normal, m_now);
+    (void)m_picker.pick(normal, m_now);
     m_picker.notices().grant(idOf(1), 1, m_now);
     m_picker.notices().grant(idOf(2), 1, m_now);
-    EXPECT_FALSE(m_picker.pick(usual, m_now)) << "one permit, and somebody goes before";
+    EXPECT_FALSE(m_picker.pick(normal, m_now)) << "a more urgent request is queued ahead";
     EXPECT_TRUE(m_picker.pick(urgent, m_now));
     m_picker.queueOf(service).leave(*urgent.place);
-    EXPECT_TRUE(m_picker.pick(usual, m_now));
+    EXPECT_TRUE(m_picker.pick(normal, m_now));
 }
 
-TEST_F(asking_servers_test, WhoeverCannotBeServedInTimeIsRefusedAtOnceAndAllComeBackOneAfterTheOther)
+TEST_F(restricted_servers_test, RefusesRequestsThatWouldBeLateAndSpreadsTheirReturns)
 {
-    limit(1, 1);
-    limit(2, 1);
+    setLimit(1, 1);
+    setLimit(2, 1);
     (void)m_picker.pick(request(), m_now);
-    m_picker.notices().expectPermit(idOf(1), m_lastWish, m_now + 900ms, 1);
+    m_picker.notices().expectPermit(idOf(1), m_lastSerial, m_now + 900ms, 1);
     (void)m_picker.pick(request(), m_now);
-    m_picker.notices().expectPermit(idOf(2), m_lastWish, m_now + 900ms, 1);
+    m_picker.notices().expectPermit(idOf(2), m_lastSerial, m_now + 900ms, 1);
     const auto refused = m_picker.pick(request(), m_now);
     ASSERT_FALSE(refused);
     EXPECT_GE(refused.error().expectedWait, 900ms);
@@ -120,16 +122,16 @@
     EXPECT_FALSE(holdUntil(refused.error(), held, m_now));
     auto returning = held;
     returning.isReturning = true;
-    EXPECT_TRUE(holdUntil(refused.error(), returning, m_now)) << "it is late already, and waits for longer";
+    EXPECT_TRUE(holdUntil(refused.error(), returning, m_now)) << "a returning request is late already and waits longer";
     auto last = duration::zero();
     for (int i = 0; i < 3; ++i) {
         const auto after = m_picker.scheduleRetry(request(), refused.error(), m_now);
-        EXPECT_GE(after, last + (i > 0 ? 490ms : 0ms)) << "the servers take two a second";
+        EXPECT_GE(after, last + (i > 0 ? 490ms : 0ms)) << "the servers accept two requests per second";
         last = after;
     }
 }
 
-TEST_F(asking_servers_test, AWaitForAPermitThatWasBegunGoesOnAsLongAsItCanEndInTime)
+TEST_F(restricted_servers_test, HeldRequestWaitsForPermitWhileItCanBeServedInTime)
 {
     const refused_pick refused { .reason = refusal_reason::Limited, .retryAfter = 1s, .expectedWait = 600ms };
     held_request held { .arrivedAt = m_now, .deadline = m_now + 8s, .latencyTarget = 400ms };
@@ -139,22 +141,22 @@
     EXPECT_FALSE(holdUntil(refused, held, m_now + 400ms));
 }
 
-TEST_F(asking_servers_test, ARestingServerIsPassedOverAlsoWhereAllOthersAreSuspected)
+TEST_F(restricted_servers_test, SkipsServerInBackoffEvenWhenAllOthersAreSuspected)
 {
-    rest(1, 3s);
-    m_picker.onRequestFinished(lifeOf(2), backend_outcome::Broken, {}, m_now);
+    setBackoff(1, 3s);
+    m_picker.onRequestFinished(instanceOf(2), backend_outcome::Broken, {}, m_now);
     for (int i = 0; i < 20; ++i)
         EXPECT_EQ(m_picker.pick(request(), m_now)->server.id, idOf(2));
-    EXPECT_TRUE(m_wishes.empty());
-    rest(2, 1s);
-    EXPECT_EQ(m_picker.pick(request(), m_now + 1100ms)->server.id, idOf(2)) << "the shorter rest is over";
-    EXPECT_FALSE(m_picker.notices().isClosed(lifeOf(1), m_now + 3s));
+    EXPECT_TRUE(m_requestedServers.empty());
+    setBackoff(2, 1s);
+    EXPECT_EQ(m_picker.pick(request(), m_now + 1100ms)->server.id, idOf(2)) << "the shorter backoff has ended";
+    EXPECT_FALSE(m_picker.notices().isClosed(instanceOf(1), m_now + 3s));
 }
 
-TEST_F(asking_servers_test, WhereAllRestTheReturnsLieBeyondTheFirstRestAndApart)
+TEST_F(restricted_servers_test, ReturnsAreSpreadAfterTheFirstBackoffEnds)
 {
-    rest(1, 3s);
-    rest(2, 2s);
+    setBackoff(1, 3s);
+    setBackoff(2, 2s);
     std::set<duration> returns;
     for (int i = 0; i < 50; ++i) {
         const auto refused = m_picker.pick(request(), m_now);
@@ -167,7 +169,7 @@
     EXPECT_GT(*returns.rbegin() - *returns.begin(), 500ms);
 }
 
-TEST_F(asking_servers_test, WhoeverCanStillBeServedInTimeWaitsForTheEndOfARest)
+TEST_F(restricted_servers_test, HoldsRequestThatCanBeServedInTimeAfterABackoff)
 {
     const held_request held { .arrivedAt = m_now, .deadline = m_now + 8s, .latencyTarget = 400ms };
     refused_pick refused {
@@ -175,7 +177,7 @@
     };
     EXPECT_EQ(holdUntil(refused, held, m_now), m_now + 300ms);
     refused.expectedOpenAt = m_now + 310ms;
-    EXPECT_FALSE(holdUntil(refused, held, m_now)) << "it would be late for certain";
+    EXPECT_FALSE(holdUntil(refused, held, m_now)) << "the response would certainly be late";
 }
 
 } // namespace
