--- a/coltsfootbend/gateway/deployment_trial.h
+++ b/coltsfootbend/gateway/deployment_test_support.h
@@ -3,7 +3,7 @@
 // Support for tests of how processes follow the deployment: runs several processes on one thread, each with a fake
 // store of its own that can refuse calls or leave them unanswered, and with real connections between the processes.
 //
-//     onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+//     onRuntime([](fiber_runtime& runtime, test_processes& processes) {
 //         auto& gateway = start(runtime, processes, { "127.0.0.1", 27340 }, {});
 //         ...
 //     });
@@ -22,7 +22,7 @@
 
 // Fake store as one process sees it: one row in each table, whose value is the table's version. Tests raise the
 // versions and switch on faults.
-struct model_store {
+struct fake_store {
     // Appended to the configuration, to make it as large as one with many routes.
     std::string padding;
     std::uint64_t version = 1; // Version of both tables.
@@ -42,9 +42,9 @@
 };
 
 // Store client of one process, which serves all calls from its fake store.
-class model_client final : public watched_store {
+class fake_store_client final : public watched_store {
 public:
-    model_client(fiber_runtime& runtime, model_store& store)
+    fake_store_client(fiber_runtime& runtime, fake_store& store)
         : m_runtime(runtime)
         , m_store(store)
     {
@@ -97,11 +97,11 @@
     }
 
     fiber_runtime& m_runtime;
-    model_store& m_store;
+    fake_store& m_store;
 };
 
 // Decodes a configuration to a catalogue that has only its version. The fake stores list no servers to decode.
-class number_decoder final : public deployment_decoder {
+class version_decoder final : public deployment_decoder {
 public:
     result<catalogue_ptr> configuration(const watched_row& row) const override
     {
@@ -113,15 +113,15 @@
 };
 
 // One process: a service for its peers, a fake store, and the deployment watch under test.
-struct model_process {
-    model_process(fiber_runtime& runtime, const endpoint& address, deployment_watch::options options)
+struct test_process {
+    test_process(fiber_runtime& runtime, const endpoint& address, deployment_watch::options options)
     {
         core.add(std::make_unique<metrics_service>());
         core.add(std::make_unique<peer_service>(runtime,
             peer_identity { .vm = vm_id(toString(address)), .life = incarnation(1) },
             peer_service::options { .address = address, .serverTls = {}, .clientTls = {} }));
-        auto made = std::make_unique<deployment_watch>(runtime, std::make_unique<model_client>(runtime, store),
-            std::make_unique<number_decoder>(), std::move(options));
+        auto made = std::make_unique<deployment_watch>(runtime, std::make_unique<fake_store_client>(runtime, store),
+            std::make_unique<version_decoder>(), std::move(options));
         watch = made.get();
         core.add(std::move(made));
         EXPECT_TRUE(core.start());
@@ -130,16 +130,16 @@
     // Returns the version of the configuration that the process knows; 0 without one.
     std::uint64_t version() const { return watch->catalogue() ? watch->catalogue()->version().number() : 0; }
 
-    model_store store;
+    fake_store store;
     kernel core;
     deployment_watch* watch = nullptr;
 };
 
 // The processes must outlive all of their fibers, so they are destroyed only after the runtime has stopped.
-using model_processes = std::vector<std::unique_ptr<model_process>>;
+using test_processes = std::vector<std::unique_ptr<test_process>>;
 
 // Stops the processes and waits until all of their fibers have ended.
-inline void finish(fiber_runtime& runtime, const model_processes& processes)
+inline void finish(fiber_runtime& runtime, const test_processes& processes)
 {
     for (const auto& process : processes) {
         process->store.isRefusing = true;
@@ -157,11 +157,11 @@
 }
 
 // Runs `test` on a fiber of a new runtime and stops the processes that it started.
-inline void onRuntime(const std::function<void(fiber_runtime&, model_processes&)>& test)
+inline void onRuntime(const std::function<void(fiber_runtime&, test_processes&)>& test)
 {
     std::thread([&] {
         fiber_runtime runtime;
-        model_processes processes;
+        test_processes processes;
         runtime.spawn([&] {
             test(runtime, processes);
             finish(runtime, processes);
@@ -172,16 +172,16 @@
 }
 
 // Starts a process whose peer service listens on `address`.
-inline model_process& start(
-    fiber_runtime& runtime, model_processes& processes, const endpoint& address, deployment_watch::options options)
+inline test_process& start(
+    fiber_runtime& runtime, test_processes& processes, const endpoint& address, deployment_watch::options options)
 {
-    processes.push_back(std::make_unique<model_process>(runtime, address, std::move(options)));
+    processes.push_back(std::make_unique<test_process>(runtime, address, std::move(options)));
     return *processes.back();
 }
 
 // Passes on to `agent` every 100 ms what `gateway` knows, as the gateway's datagrams do, until `until`.
 inline void tellAgent(
-    fiber_runtime& runtime, model_process& gateway, const endpoint& address, model_process& agent, time_point until)
+    fiber_runtime& runtime, test_process& gateway, const endpoint& address, test_process& agent, time_point until)
 {
     while (clock_type::now() < until) {
         agent.watch->hearGateway(address, gateway.watch->knowledge());
@@ -191,7 +191,7 @@
 
 // Returns the version that `process` knows as soon as it is at least `version`, or after `limit`.
 inline std::uint64_t versionWithin(
-    fiber_runtime& runtime, const model_process& process, std::uint64_t version, duration limit)
+    fiber_runtime& runtime, const test_process& process, std::uint64_t version, duration limit)
 {
     const auto until = clock_type::now() + limit;
     while (process.version() < version && clock_type::now() < until)
@@ -201,7 +201,7 @@
 
 // Exchanges through `agent` what the gateways know, ten times a second, until `until`. The first `pausedCount` gateways
 // are paused: they neither send nor receive.
-inline void talkThrough(load_subscribers& agent, fiber_runtime& runtime, const model_processes& gateways,
+inline void talkThrough(load_subscribers& agent, fiber_runtime& runtime, const test_processes& gateways,
     const std::vector<endpoint>& addresses, time_point until, std::size_t pausedCount = 0)
 {
     while (clock_type::now() < until) {
@@ -221,7 +221,7 @@
 
 // Exchanges through a new agent what the gateways know, ten times a second, until `until`.
 inline void talkThroughAgent(
-    fiber_runtime& runtime, const model_processes& gateways, const std::vector<endpoint>& addresses, time_point until)
+    fiber_runtime& runtime, const test_processes& gateways, const std::vector<endpoint>& addresses, time_point until)
 {
     load_subscribers agent(1);
     talkThrough(agent, runtime, gateways, addresses, until);
--- a/coltsfootbend/gateway/deployment_watch_test.cpp
+++ b/coltsfootbend/gateway/deployment_watch_test.cpp
@@ -1,6 +1,6 @@
 #include "coltsfootbend/gateway/deployment_watch.h"
 
-#include "coltsfootbend/gateway/deployment_trial.h"
+#include "coltsfootbend/gateway/deployment_test_support.h"
 
 namespace coltsfootbend {
 namespace {
@@ -10,7 +10,7 @@
 // The store refuses the gateway; all that it hears is an agent, which has just seen another change.
 TEST(DeploymentWatch, AGatewayThatTheStoreRefusesLearnsFromAnAgentInTime)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const endpoint agentAddress { "127.0.0.1", 27341 };
         auto& agent = start(runtime, processes, agentAddress, deployment_watch::options::forAgents());
         deployment_watch::options options;
@@ -32,7 +32,7 @@
 // Sixty agents that follow the store themselves cost more than half of all calls.
 TEST(DeploymentWatch, AnAgentLeavesTheStoreToTheGateways)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const endpoint gatewayAddress { "127.0.0.1", 27343 };
         auto& gateway = start(runtime, processes, gatewayAddress, {});
         auto options = deployment_watch::options::forAgents();
@@ -56,7 +56,7 @@
 // Replays 1,400 new routes: read by 63 agents through links of 8 Mbit/s they filled these for seconds.
 TEST(DeploymentWatch, AnAgentDoesNotReadEveryConfiguration)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const endpoint gatewayAddress { "127.0.0.1", 27347 };
         auto& gateway = start(runtime, processes, gatewayAddress, {});
         auto& agent = start(runtime, processes, { "127.0.0.1", 27348 }, deployment_watch::options::forAgents());
@@ -74,7 +74,7 @@
 
 TEST(DeploymentWatch, AGatewayThatTheStoreRefusesReadsFromWhoIsSaidToKnowMore)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const endpoint served { "127.0.0.1", 27349 };
         auto& informed = start(runtime, processes, served, {});
         auto& refused = start(runtime, processes, { "127.0.0.1", 27350 }, {});
@@ -92,7 +92,7 @@
 // Polls of several gateways were silent for twelve seconds while others heard of six configurations.
 TEST(DeploymentWatch, AGatewayWhosePollIsSilentReadsFromWhoIsSaidToKnowMore)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const endpoint informedAddress { "127.0.0.1", 27351 };
         auto& informed = start(runtime, processes, informedAddress, {});
         auto& deaf = start(runtime, processes, { "127.0.0.1", 27352 }, {});
@@ -109,7 +109,7 @@
 
 TEST(DeploymentWatch, AnAgentFollowsTheStoreOnceNoGatewayDoes)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const endpoint gatewayAddress { "127.0.0.1", 27345 };
         auto& gateway = start(runtime, processes, gatewayAddress, {});
         auto options = deployment_watch::options::forAgents();
@@ -135,7 +135,7 @@
 // No peer could help, for all had asked at the same moment.
 TEST(DeploymentWatch, AConfigurationIsInForceSoonAfterAStoreThatTookCallsAndAnsweredNone)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         auto& gateway = start(runtime, processes, { "127.0.0.1", 27353 }, {});
         runtime.sleepFor(100ms);
         gateway.store.version = 2;
@@ -154,7 +154,7 @@
 // and at 38.5 s one still did not know a configuration of 36.0 s.
 TEST(DeploymentWatch, AnAnswerAboutOneTableIsNoProofForTheOther)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const endpoint informedAddress { "127.0.0.1", 27354 };
         auto& informed = start(runtime, processes, informedAddress, {});
         deployment_watch::options options;
@@ -176,7 +176,7 @@
 // A poll that the store no longer knows of looks just like one that has nothing to tell, without any outage in between.
 TEST(DeploymentWatch, APollThatTellsNothingIsNoProofThatNothingChanged)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         auto& gateway = start(runtime, processes, { "127.0.0.1", 27355 }, {});
         runtime.sleepFor(100ms);
         ++gateway.store.forgottenPolls;
@@ -190,7 +190,7 @@
 // others, who then read from it what they had.
 TEST(DeploymentWatch, WhoHasAskedLastDoesNotSeemToKnowMore)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         auto& gateway = start(runtime, processes, { "127.0.0.1", 27357 }, {});
         runtime.sleepFor(100ms);
         gateway.store.position = 40;
@@ -207,7 +207,7 @@
 // never came; a directory that believes the store away gives up no server that is gone.
 TEST(DeploymentWatch, AnAgentThatLeavesTheStoreToGatewaysForgetsThatItHadLostIt)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const endpoint gatewayAddress { "127.0.0.1", 27370 };
         auto& gateway = start(runtime, processes, gatewayAddress, {});
         auto& agent = start(runtime, processes, { "127.0.0.1", 27371 }, deployment_watch::options::forAgents());
@@ -222,7 +222,7 @@
 
 TEST(DeploymentWatch, WhatIsKnownNeverGoesBack)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         auto& process = start(runtime, processes, { "127.0.0.1", 27342 }, {});
         process.store.version = 5;
         runtime.sleepFor(800ms);
--- a/coltsfootbend/gateway/peer_reading_test.cpp
+++ b/coltsfootbend/gateway/peer_reading_test.cpp
@@ -1,4 +1,4 @@
-#include "coltsfootbend/gateway/deployment_trial.h"
+#include "coltsfootbend/gateway/deployment_test_support.h"
 
 namespace coltsfootbend {
 namespace {
@@ -8,12 +8,12 @@
 // About 1,500 routes.
 constexpr std::size_t largeConfiguration = 500'000;
 
-std::uint64_t bytesMoved(model_process& process)
+std::uint64_t bytesMoved(test_process& process)
 {
     return process.core.find<peer_service>("peers")->client().bytesMoved();
 }
 
-void refuseAll(const model_processes& processes)
+void refuseAll(const test_processes& processes)
 {
     for (const auto& process : processes)
         process->store.isRefusing = true;
@@ -26,7 +26,7 @@
 // so that no map was changed while demand shifted, and two thirds of all answers came late.
 TEST(PeerReading, AnAgentDoesNotReadManyRoutesWhileNobodyHasTheStore)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const std::vector<endpoint> gateways { { "127.0.0.1", 27380 }, { "127.0.0.1", 27381 }, { "127.0.0.1", 27382 } };
         for (const auto& address : gateways)
             start(runtime, processes, address, {});
@@ -50,7 +50,7 @@
 // Three peers that know the same are no reason to read it from each of them.
 TEST(PeerReading, AGatewayReadsNewsFromOneOfThoseWhoKnowThem)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const std::vector<endpoint> peers { { "127.0.0.1", 27384 }, { "127.0.0.1", 27385 }, { "127.0.0.1", 27386 } };
         for (const auto& address : peers)
             start(runtime, processes, address, {});
@@ -108,7 +108,7 @@
 
 TEST(PeerReading, AnAnswerThatTakesLongIsWaitedForAndNotAskedForAgain)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const endpoint slowAddress { "127.0.0.1", 27388 };
         slow_peer slow(runtime, slowAddress, 1500ms);
         deployment_watch::options options;
--- a/coltsfootbend/gateway/store_following_test.cpp
+++ b/coltsfootbend/gateway/store_following_test.cpp
@@ -1,4 +1,4 @@
-#include "coltsfootbend/gateway/deployment_trial.h"
+#include "coltsfootbend/gateway/deployment_test_support.h"
 
 #include <algorithm>
 #include <numeric>
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 std::vector<endpoint> startGateways(
-    fiber_runtime& runtime, model_processes& processes, int count, std::uint16_t firstPort)
+    fiber_runtime& runtime, test_processes& processes, int count, std::uint16_t firstPort)
 {
     std::vector<endpoint> addresses;
     for (int i = 0; i < count; ++i) {
@@ -19,7 +19,7 @@
     return addresses;
 }
 
-int callsOf(const model_processes& processes)
+int callsOf(const test_processes& processes)
 {
     return std::accumulate(
         processes.begin(), processes.end(), 0, [](int sum, const auto& process) { return sum + process->store.calls; });
@@ -28,7 +28,7 @@
 // A check costs two calls. Each gateway for itself would make six in five seconds; it is one a second for all together.
 TEST(DeploymentWatch, GatewaysAskTheStoreInTurnForAll)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         constexpr std::uint16_t firstPort = 27360;
         constexpr int gateways = 6;
         std::vector<endpoint> addresses;
@@ -54,7 +54,7 @@
 // Forty gateways that each ask anew after each change made most of the 3,500 to 5,200 calls of a day.
 TEST(DeploymentWatch, AChangeCostsCallsOfThoseOnlyWhoFollowTheStore)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const auto addresses = startGateways(runtime, processes, 8, 27400);
         talkThroughAgent(runtime, processes, addresses, clock_type::now() + 1s);
         // The polls that are out when others begin to rest end with this change.
@@ -79,7 +79,7 @@
 // after the other.
 TEST(DeploymentWatch, WhoRestsHearsInTimeThoughThoseWhoFollowTheStoreFail)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         auto addresses = startGateways(runtime, processes, 6, 27410);
         std::uint64_t version = 1;
         const auto change = [&] {
@@ -115,7 +115,7 @@
 // fresh news of the store.
 TEST(DeploymentWatch, WhoRestsHearsInTimeThoughThoseWhoFollowTheStoreStandStill)
 {
-    onRuntime([](fiber_runtime& runtime, model_processes& processes) {
+    onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const auto addresses = startGateways(runtime, processes, 4, 27420);
         load_subscribers agent(1);
         talkThrough(agent, runtime, processes, addresses, clock_type::now() + 1s);
