--- a/coltsfootbend/gateway/deployment_test_support.h
+++ b/coltsfootbend/gateway/deployment_test_support.h
@@ -29,11 +29,11 @@
     std::uint64_t serversVersion = 0; // Version of the list of servers if it is higher than `version`.
     std::uint64_t position = 0; // Revision of the last change in other tables, reported by polls if it is higher.
     bool isRefusing = false; // All calls fail.
-    bool isSilent = false; // Polls return no changes until their time is over.
+    bool stallsPolls = false; // Polls return no changes until their time is over.
     // Tables for which new calls are accepted and never answered. Polls that started earlier are not affected.
-    std::set<watched_table> swallowed;
-    int forgottenPolls = 0; // Raising it makes the polls that are open remain unanswered.
-    int calls = 0; // Number of calls that the store has received.
+    std::set<watched_table> unansweredTables;
+    int pollGeneration = 0; // Raising it makes the polls that are open remain unanswered.
+    int callCount = 0; // Number of calls that the store has received.
 
     std::uint64_t versionOf(watched_table table) const
     {
@@ -52,8 +52,8 @@
 
     result<row_page> readAll(watched_table table, time_point deadline) override
     {
-        ++m_store.calls;
-        if (m_store.swallowed.contains(table))
+        ++m_store.callCount;
+        if (m_store.unansweredTables.contains(table))
             return waitWithoutReply(deadline);
         return page(table);
     }
@@ -61,13 +61,13 @@
     result<row_page> changes(watched_table table, store_revision after, time_point waitUntil, time_point deadline,
         cancellation* poll) override
     {
-        ++m_store.calls;
-        if (m_store.swallowed.contains(table))
+        ++m_store.callCount;
+        if (m_store.unansweredTables.contains(table))
             return waitWithoutReply(deadline, poll);
-        const int generation = m_store.forgottenPolls;
-        while (!m_store.isRefusing && (m_store.isSilent || m_store.versionOf(table) <= after)
+        const int generation = m_store.pollGeneration;
+        while (!m_store.isRefusing && (m_store.stallsPolls || m_store.versionOf(table) <= after)
             && clock_type::now() < waitUntil) {
-            if (generation != m_store.forgottenPolls)
+            if (generation != m_store.pollGeneration)
                 return waitWithoutReply(deadline, poll);
             if (poll && poll->isCancelled())
                 return fail(error_kind::Lost, "cancelled");
--- a/coltsfootbend/gateway/deployment_watch_test.cpp
+++ b/coltsfootbend/gateway/deployment_watch_test.cpp
@@ -43,13 +43,13 @@
         // The polls that were open when the gateway was first heard end with this change.
         agent.store.version = gateway.store.version = 2;
         tellAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 1500ms);
-        const int calls = agent.store.calls;
+        const int calls = agent.store.callCount;
         for (std::uint64_t version = 3; version <= 6; ++version) {
             agent.store.version = gateway.store.version = version;
             tellAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 800ms);
             EXPECT_EQ(agent.version(), version);
         }
-        EXPECT_EQ(agent.store.calls, calls);
+        EXPECT_EQ(agent.store.callCount, calls);
     });
 }
 
@@ -97,7 +97,7 @@
         auto& informed = start(runtime, processes, informedAddress, {});
         auto& deaf = start(runtime, processes, { "127.0.0.1", 27352 }, {});
         runtime.sleepFor(100ms);
-        deaf.store.isSilent = true;
+        deaf.store.stallsPolls = true;
         deaf.store.version = informed.store.version = 2;
         for (int i = 0; i < 15; ++i) {
             runtime.sleepFor(100ms);
@@ -140,10 +140,10 @@
         runtime.sleepFor(100ms);
         gateway.store.version = 2;
         EXPECT_EQ(versionWithin(runtime, gateway, 2, 500ms), 2U);
-        gateway.store.swallowed = bothTables;
+        gateway.store.unansweredTables = bothTables;
         runtime.sleepFor(1500ms);
         gateway.store.version = 3;
-        gateway.store.swallowed.clear();
+        gateway.store.unansweredTables.clear();
         EXPECT_EQ(versionWithin(runtime, gateway, 3, 2s), 3U);
     });
 }
@@ -163,7 +163,7 @@
         runtime.sleepFor(100ms);
         gateway.store.isRefusing = true;
         runtime.sleepFor(200ms);
-        gateway.store.swallowed = { watched_table::Configuration };
+        gateway.store.unansweredTables = { watched_table::Configuration };
         gateway.store.isRefusing = false;
         runtime.sleepFor(1000ms);
         gateway.store.serversVersion = 5;
@@ -179,7 +179,7 @@
     onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         auto& gateway = start(runtime, processes, { "127.0.0.1", 27355 }, {});
         runtime.sleepFor(100ms);
-        ++gateway.store.forgottenPolls;
+        ++gateway.store.pollGeneration;
         runtime.sleepFor(10ms);
         gateway.store.version = 2;
         EXPECT_EQ(versionWithin(runtime, gateway, 2, 2s), 2U);
--- a/coltsfootbend/gateway/store_following_test.cpp
+++ b/coltsfootbend/gateway/store_following_test.cpp
@@ -21,8 +21,8 @@
 
 int callsOf(const test_processes& processes)
 {
-    return std::accumulate(
-        processes.begin(), processes.end(), 0, [](int sum, const auto& process) { return sum + process->store.calls; });
+    return std::accumulate(processes.begin(), processes.end(), 0,
+        [](int sum, const auto& process) { return sum + process->store.callCount; });
 }
 
 // A check costs two calls. Each gateway for itself would make six in five seconds; it is one a second for all together.
@@ -40,7 +40,7 @@
         const auto calls = [&] {
             int sum = 0;
             for (const auto& process : processes)
-                sum += process->store.calls;
+                sum += process->store.callCount;
             return sum;
         };
         const int before = calls();
@@ -97,13 +97,13 @@
         talkThroughAgent(runtime, processes, addresses, clock_type::now() + 1s);
         change();
         for (int i = 0; i < 2; ++i)
-            processes[i]->store.isSilent = true;
+            processes[i]->store.stallsPolls = true;
         change();
         for (int i = 0; i < 2; ++i)
-            processes[i]->store.swallowed = bothTables;
+            processes[i]->store.unansweredTables = bothTables;
         change();
         for (int i = 0; i < 2; ++i) {
-            processes[i]->store.swallowed.clear();
+            processes[i]->store.unansweredTables.clear();
             processes[i]->store.isRefusing = true;
         }
         change();
