--- a/coltsfootbend/gateway/deployment_test_support.h
+++ b/coltsfootbend/gateway/deployment_test_support.h
@@ -180,7 +180,7 @@
 }
 
 // Passes on to `agent` every 100 ms what `gateway` knows, as the gateway's datagrams do, until `until`.
-inline void tellAgent(
+inline void sendKnowledgeToAgent(
     fiber_runtime& runtime, test_process& gateway, const endpoint& address, test_process& agent, time_point until)
 {
     while (clock_type::now() < until) {
@@ -190,7 +190,7 @@
 }
 
 // Returns the version that `process` knows as soon as it is at least `version`, or after `limit`.
-inline std::uint64_t versionWithin(
+inline std::uint64_t waitForVersion(
     fiber_runtime& runtime, const test_process& process, std::uint64_t version, duration limit)
 {
     const auto until = clock_type::now() + limit;
@@ -201,7 +201,7 @@
 
 // Exchanges through `agent` what the gateways know, ten times a second, until `until`. The first `pausedCount` gateways
 // are paused: they neither send nor receive.
-inline void talkThrough(load_subscribers& agent, fiber_runtime& runtime, const test_processes& gateways,
+inline void exchangeKnowledgeThrough(load_subscribers& agent, fiber_runtime& runtime, const test_processes& gateways,
     const std::vector<endpoint>& addresses, time_point until, std::size_t pausedCount = 0)
 {
     while (clock_type::now() < until) {
@@ -220,11 +220,11 @@
 }
 
 // Exchanges through a new agent what the gateways know, ten times a second, until `until`.
-inline void talkThroughAgent(
+inline void exchangeKnowledge(
     fiber_runtime& runtime, const test_processes& gateways, const std::vector<endpoint>& addresses, time_point until)
 {
     load_subscribers agent(1);
-    talkThrough(agent, runtime, gateways, addresses, until);
+    exchangeKnowledgeThrough(agent, runtime, gateways, addresses, until);
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/deployment_watch_test.cpp
+++ b/coltsfootbend/gateway/deployment_watch_test.cpp
@@ -39,14 +39,14 @@
         options.configurationFromPeersEvery = 100ms;
         auto& agent = start(runtime, processes, { "127.0.0.1", 27344 }, options);
         agent.store.version = 1;
-        tellAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 300ms);
+        sendKnowledgeToAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 300ms);
         // The polls that were open when the gateway was first heard end with this change.
         agent.store.version = gateway.store.version = 2;
-        tellAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 1500ms);
+        sendKnowledgeToAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 1500ms);
         const int calls = agent.store.callCount;
         for (std::uint64_t version = 3; version <= 6; ++version) {
             agent.store.version = gateway.store.version = version;
-            tellAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 800ms);
+            sendKnowledgeToAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 800ms);
             EXPECT_EQ(agent.version(), version);
         }
         EXPECT_EQ(agent.store.callCount, calls);
@@ -60,12 +60,12 @@
         const endpoint gatewayAddress { "127.0.0.1", 27347 };
         auto& gateway = start(runtime, processes, gatewayAddress, {});
         auto& agent = start(runtime, processes, { "127.0.0.1", 27348 }, deployment_watch::options::forAgents());
-        tellAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 300ms);
+        sendKnowledgeToAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 300ms);
         agent.store.version = gateway.store.version = 2;
-        tellAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 1500ms);
+        sendKnowledgeToAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 1500ms);
         for (std::uint64_t version = 3; version <= 5; ++version) {
             gateway.store.version = version;
-            tellAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 500ms);
+            sendKnowledgeToAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 500ms);
             EXPECT_EQ(agent.watch->knowledge().servers.revision, version);
         }
         EXPECT_LT(agent.version(), 5U);
@@ -118,9 +118,9 @@
         auto& agent = start(runtime, processes, { "127.0.0.1", 27346 }, options);
         runtime.sleepFor(200ms);
         gateway.store.isRefusing = true;
-        tellAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 800ms);
+        sendKnowledgeToAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 800ms);
         agent.store.version = 2;
-        tellAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 800ms);
+        sendKnowledgeToAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 800ms);
         EXPECT_EQ(agent.version(), 2U) << "the gateway speaks, but the store does not serve it";
     });
 }
@@ -139,12 +139,12 @@
         auto& gateway = start(runtime, processes, { "127.0.0.1", 27353 }, {});
         runtime.sleepFor(100ms);
         gateway.store.version = 2;
-        EXPECT_EQ(versionWithin(runtime, gateway, 2, 500ms), 2U);
+        EXPECT_EQ(waitForVersion(runtime, gateway, 2, 500ms), 2U);
         gateway.store.unansweredTables = bothTables;
         runtime.sleepFor(1500ms);
         gateway.store.version = 3;
         gateway.store.unansweredTables.clear();
-        EXPECT_EQ(versionWithin(runtime, gateway, 3, 2s), 3U);
+        EXPECT_EQ(waitForVersion(runtime, gateway, 3, 2s), 3U);
     });
 }
 
@@ -169,7 +169,7 @@
         gateway.store.serversVersion = 5;
         runtime.sleepFor(500ms);
         informed.store.version = 2;
-        EXPECT_EQ(versionWithin(runtime, gateway, 2, 2s), 2U);
+        EXPECT_EQ(waitForVersion(runtime, gateway, 2, 2s), 2U);
     });
 }
 
@@ -182,7 +182,7 @@
         ++gateway.store.pollGeneration;
         runtime.sleepFor(10ms);
         gateway.store.version = 2;
-        EXPECT_EQ(versionWithin(runtime, gateway, 2, 2s), 2U);
+        EXPECT_EQ(waitForVersion(runtime, gateway, 2, 2s), 2U);
     });
 }
 
@@ -199,7 +199,7 @@
         EXPECT_LT(gateway.watch->knowledge().configuration.ageMs, 1600U);
         // Changes that come after those of other tables are told all the same.
         gateway.store.version = 41;
-        EXPECT_EQ(versionWithin(runtime, gateway, 41, 500ms), 41U);
+        EXPECT_EQ(waitForVersion(runtime, gateway, 41, 500ms), 41U);
     });
 }
 
@@ -215,7 +215,7 @@
         agent.store.isRefusing = true;
         runtime.sleepFor(500ms);
         EXPECT_FALSE(agent.watch->storeAnswers());
-        tellAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 1500ms);
+        sendKnowledgeToAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 1500ms);
         EXPECT_TRUE(agent.watch->storeAnswers());
     });
 }
--- a/coltsfootbend/gateway/peer_reading_test.cpp
+++ b/coltsfootbend/gateway/peer_reading_test.cpp
@@ -33,7 +33,7 @@
         auto options = deployment_watch::options::forAgents();
         options.peers = gateways;
         auto& agent = start(runtime, processes, { "127.0.0.1", 27383 }, options);
-        tellAgent(runtime, *processes[0], gateways[0], agent, clock_type::now() + 300ms);
+        sendKnowledgeToAgent(runtime, *processes[0], gateways[0], agent, clock_type::now() + 300ms);
         for (const auto& process : processes) {
             process->store.padding = std::string(largeConfiguration, ' ');
             process->store.version = 2;
@@ -64,7 +64,7 @@
             process->store.padding = std::string(largeConfiguration, ' ');
             process->store.version = 2;
         }
-        EXPECT_EQ(versionWithin(runtime, gateway, 2, 2s), 2U);
+        EXPECT_EQ(waitForVersion(runtime, gateway, 2, 2s), 2U);
         runtime.sleepFor(500ms);
         EXPECT_LT(bytesMoved(gateway) - before, 2 * largeConfiguration);
     });
@@ -116,7 +116,7 @@
         auto& gateway = start(runtime, processes, { "127.0.0.1", 27389 }, options);
         runtime.sleepFor(100ms);
         gateway.store.isRefusing = true;
-        EXPECT_EQ(versionWithin(runtime, gateway, 2, 3s), 2U);
+        EXPECT_EQ(waitForVersion(runtime, gateway, 2, 3s), 2U);
         EXPECT_EQ(slow.asked(), 1);
         slow.stop();
     });
--- a/coltsfootbend/gateway/store_following_test.cpp
+++ b/coltsfootbend/gateway/store_following_test.cpp
@@ -36,7 +36,7 @@
             addresses.push_back({ "127.0.0.1", static_cast<std::uint16_t>(firstPort + i) });
             start(runtime, processes, addresses.back(), {});
         }
-        talkThroughAgent(runtime, processes, addresses, clock_type::now() + 2s);
+        exchangeKnowledge(runtime, processes, addresses, clock_type::now() + 2s);
         const auto calls = [&] {
             int sum = 0;
             for (const auto& process : processes)
@@ -44,7 +44,7 @@
             return sum;
         };
         const int before = calls();
-        talkThroughAgent(runtime, processes, addresses, clock_type::now() + 5s);
+        exchangeKnowledge(runtime, processes, addresses, clock_type::now() + 5s);
         EXPECT_LE(calls() - before, 2 * 6);
         for (const auto& process : processes)
             EXPECT_LT(process->watch->knowledge().configuration.ageMs, 1600U);
@@ -56,16 +56,16 @@
 {
     onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const auto addresses = startGateways(runtime, processes, 8, 27400);
-        talkThroughAgent(runtime, processes, addresses, clock_type::now() + 1s);
+        exchangeKnowledge(runtime, processes, addresses, clock_type::now() + 1s);
         // The polls that are out when others begin to rest end with this change.
         for (const auto& process : processes)
             process->store.version = 2;
-        talkThroughAgent(runtime, processes, addresses, clock_type::now() + 1s);
+        exchangeKnowledge(runtime, processes, addresses, clock_type::now() + 1s);
         const int before = callsOf(processes);
         for (std::uint64_t version = 3; version <= 6; ++version) {
             for (const auto& process : processes)
                 process->store.version = version;
-            talkThroughAgent(runtime, processes, addresses, clock_type::now() + 1s);
+            exchangeKnowledge(runtime, processes, addresses, clock_type::now() + 1s);
             for (const auto& process : processes)
                 EXPECT_EQ(process->version(), version);
         }
@@ -91,10 +91,10 @@
             while (std::any_of(processes.begin() + 2, processes.end(), [&](const auto& process) {
                 return process->version() < version;
             }) && clock_type::now() < changedAt + 5s)
-                talkThroughAgent(runtime, processes, addresses, clock_type::now() + 50ms);
+                exchangeKnowledge(runtime, processes, addresses, clock_type::now() + 50ms);
             EXPECT_LT(clock_type::now() - changedAt, 2s);
         };
-        talkThroughAgent(runtime, processes, addresses, clock_type::now() + 1s);
+        exchangeKnowledge(runtime, processes, addresses, clock_type::now() + 1s);
         change();
         for (int i = 0; i < 2; ++i)
             processes[i]->store.stallsPolls = true;
@@ -118,10 +118,10 @@
     onRuntime([](fiber_runtime& runtime, test_processes& processes) {
         const auto addresses = startGateways(runtime, processes, 4, 27420);
         load_subscribers agent(1);
-        talkThrough(agent, runtime, processes, addresses, clock_type::now() + 1s);
+        exchangeKnowledgeThrough(agent, runtime, processes, addresses, clock_type::now() + 1s);
         for (const auto& process : processes)
             process->store.version = 2;
-        talkThrough(agent, runtime, processes, addresses, clock_type::now() + 1s);
+        exchangeKnowledgeThrough(agent, runtime, processes, addresses, clock_type::now() + 1s);
         constexpr std::size_t frozen = 2;
         for (const auto& process : processes)
             process->store.version = 3;
@@ -129,7 +129,7 @@
         while (std::any_of(processes.begin() + frozen, processes.end(), [](const auto& process) {
             return process->version() < 3;
         }) && clock_type::now() < changedAt + 5s)
-            talkThrough(agent, runtime, processes, addresses, clock_type::now() + 50ms, frozen);
+            exchangeKnowledgeThrough(agent, runtime, processes, addresses, clock_type::now() + 50ms, frozen);
         EXPECT_LT(clock_type::now() - changedAt, 2s);
     });
 }
