--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -55,7 +55,7 @@
     , m_responder(responder)
     , m_catalogue(context.catalogue)
     , m_arrivedAt(clock_type::now())
-    , m_callerFacts(context.dialect.readCaller(request))
+    , m_callerFacts(context.codec.readCaller(request))
     , m_events(m_callerFacts.lastEvent)
 {
 }
@@ -283,7 +283,7 @@
             + " predicted_ms=" + std::to_string(std::lround(toMilliseconds(picked.predictedLatency))) + " time_left_ms="
             + std::to_string(std::lround(toMilliseconds(m_callerFacts.timeLeft.value_or(duration::zero()))))
             + " returning=" + (m_isReturning ? "yes" : "no"));
-    const auto sent = (*connection)->send(m_context.dialect.toBackend(m_request, call), m_deadline);
+    const auto sent = (*connection)->send(m_context.codec.toBackend(m_request, call), m_deadline);
     const auto nextStep = sent ? receiveResponse(picked, **connection, now) : handleFailure(picked, sent.error());
     m_caller->connection.reset();
     return nextStep;
@@ -293,7 +293,7 @@
     const picked_backend& picked, backend_connection& connection, time_point sentAt)
 {
     const auto matchesRequest = [this](const http_head& head) {
-        const auto& id = m_context.dialect.readBackend(head).requestId;
+        const auto& id = m_context.codec.readBackend(head).requestId;
         return id.empty() || id == m_callerFacts.requestId;
     };
     watched_response watched(m_context.watchdog, picked.server.instance(), m_caller->connection);
@@ -306,7 +306,7 @@
     if (!head)
         return handleFailure(picked, watched.hasExpired() ? unresponsiveServerError() : head.error());
     watched.clearDeadlines();
-    const auto facts = m_context.dialect.readBackend(*head);
+    const auto facts = m_context.codec.readBackend(*head);
     receiveNotice(picked.server, facts, sentAt);
     if (facts.load)
         m_context.picker.receiveResponseLoad(
@@ -336,7 +336,7 @@
     const picked_backend& picked, backend_connection& connection, const http_head& head, time_point sentAt)
 {
     const auto latency = clock_type::now() - sentAt;
-    http_response response { { head.status, m_context.dialect.toCaller(head) }, {} };
+    http_response response { { head.status, m_context.codec.toCaller(head) }, {} };
     while (true) {
         auto bytes = connection.readBody(m_deadline + deadlineGrace);
         if (!bytes)
@@ -347,7 +347,7 @@
         if (response.body.size() > maxBufferedBodySize)
             return handleFailure(picked, { error_kind::BadInput, "the response body is too long", "" });
     }
-    const auto facts = m_context.dialect.readBackend(head);
+    const auto facts = m_context.codec.readBackend(head);
     if (connection.isReusable())
         m_context.connections.release(picked.server, m_caller->connection, facts.keptFor);
     if (facts.isNotRun)
@@ -409,7 +409,7 @@
         if (!m_hasBegunStream && (!completeEvents.empty() || !*bytes)) {
             m_hasBegunStream = true;
             m_context.metrics.observe("first_event_seconds", toMilliseconds(clock_type::now() - m_arrivedAt) / 1000);
-            if (!m_responder.begin({ head.status, m_context.dialect.toCaller(head) }))
+            if (!m_responder.begin({ head.status, m_context.codec.toCaller(head) }))
                 m_caller->isDisconnected = true;
         }
         if (!completeEvents.empty()) {
@@ -425,7 +425,7 @@
             break;
     }
     if (connection.isReusable())
-        m_context.connections.release(picked.server, m_caller->connection, m_context.dialect.readBackend(head).keptFor);
+        m_context.connections.release(picked.server, m_caller->connection, m_context.codec.readBackend(head).keptFor);
     recordOutcome(picked, backend_outcome::Answered, latency);
     clearSuspicion();
     retryBudget().recordSuccess();
@@ -516,7 +516,7 @@
 {
     auto response = errorResponse(status, why);
     if (!m_callerFacts.requestId.empty())
-        response.head.headers.push_back(m_context.dialect.requestIdHeader(m_callerFacts.requestId));
+        response.head.headers.push_back(m_context.codec.requestIdHeader(m_callerFacts.requestId));
     if (retryAfter)
         response.head.headers.push_back({ "Retry-After", formatSeconds(*retryAfter) });
     logEvent(log_event::RequestRefused,
--- a/coltsfootbend/gateway/exchange.h
+++ b/coltsfootbend/gateway/exchange.h
@@ -2,7 +2,7 @@
 
 // Serves one request of a caller from its head to the final response: admits it, sends it to a backend server, relays
 // the response, and decides whether it may be sent to another server after a failure. Runs on the fiber of the caller's
-// connection. `gateway/backend_picker.h` chooses the servers and `gateway/request_dialect.h` interprets headers.
+// connection. `gateway/backend_picker.h` chooses the servers and `gateway/header_codec.h` interprets headers.
 //
 //     exchange(context, request, responder).run();
 
@@ -29,7 +29,7 @@
 // State that all exchanges of a process share.
 struct gateway_context {
     fiber_runtime& runtime;
-    const request_dialect& dialect;
+    const header_codec& codec;
     metrics_service& metrics;
     backend_picker picker;
     backend_connection_pool connections;
--- a/coltsfootbend/gateway/exchange_test.cpp
+++ b/coltsfootbend/gateway/exchange_test.cpp
@@ -127,7 +127,7 @@
         , m_quarantine(
               runtime, m_witness, [](const backend_server&) { return false; }, [](const std::vector<crash_record>&) {})
         , context(new gateway_context { .runtime = runtime,
-              .dialect = m_dialect,
+              .codec = m_codec,
               .metrics = m_metrics,
               .picker = backend_picker({}, 1),
               .connections = backend_connection_pool(runtime),
@@ -167,7 +167,7 @@
     recording_responder responder;
 
 private:
-    platform::request_headers m_dialect;
+    platform::request_headers m_codec;
     metrics_service m_metrics;
     class absent_witness final : public crash_verifier {
         bool hasTerminated(const backend_server&) override { return false; }
--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -43,10 +43,10 @@
 } // namespace
 
 gateway_service::gateway_service(
-    fiber_runtime& runtime, const daemon_settings& settings, std::unique_ptr<request_dialect> dialect)
+    fiber_runtime& runtime, const daemon_settings& settings, std::unique_ptr<header_codec> codec)
     : m_runtime(runtime)
     , m_settings(settings)
-    , m_dialect(std::move(dialect))
+    , m_codec(std::move(codec))
     , m_gatewayCount(initialGatewayCount)
 {
 }
@@ -72,7 +72,7 @@
     m_quarantine = std::make_unique<quarantine_network>(m_runtime, m_settings, *m_watch, *m_agents, (*peers)->client(),
         announcedLeaving, kernel.find<crash_archive>("crash_archive"), *m_socket);
     m_context = std::make_unique<gateway_context>(gateway_context { .runtime = m_runtime,
-        .dialect = *m_dialect,
+        .codec = *m_codec,
         .metrics = *m_metrics,
         .picker = backend_picker({ .localDataCentre = m_settings.dataCentre }, std::random_device {}()),
         .connections = backend_connection_pool(m_runtime),
--- a/coltsfootbend/gateway/gateway_service.h
+++ b/coltsfootbend/gateway/gateway_service.h
@@ -5,7 +5,7 @@
 // them, and reports readiness and metrics over HTTP. Registered with the kernel as "gateway". `gateway/exchange.h`
 // serves the single requests.
 //
-//     kernel.add(std::make_unique<gateway_service>(runtime, settings, dialect));
+//     kernel.add(std::make_unique<gateway_service>(runtime, settings, codec));
 
 #include "coltsfootbend/gateway/deployment_watch.h"
 #include "coltsfootbend/gateway/exchange.h"
@@ -19,7 +19,7 @@
 // Owns the state of one gateway process and runs its listeners and periodic work on fibers.
 class gateway_service final : public service {
 public:
-    gateway_service(fiber_runtime&, const daemon_settings&, std::unique_ptr<request_dialect>);
+    gateway_service(fiber_runtime&, const daemon_settings&, std::unique_ptr<header_codec>);
     ~gateway_service() override;
 
     std::string_view name() const override { return "gateway"; }
@@ -55,7 +55,7 @@
 
     fiber_runtime& m_runtime;
     const daemon_settings& m_settings;
-    const std::unique_ptr<request_dialect> m_dialect;
+    const std::unique_ptr<header_codec> m_codec;
     deployment_watch* m_watch = nullptr;
     metrics_service* m_metrics = nullptr;
     std::unique_ptr<agent_directory> m_agents;
--- a/coltsfootbend/gateway/request_dialect.h
+++ b/coltsfootbend/gateway/header_codec.h
@@ -4,9 +4,9 @@
 // this interface only; the platform's adapter implements it and knows the names of the headers. `net/http.h` and
 // `gateway/backend_connection.h` do the framing.
 //
-//     const caller_facts caller = dialect.readCaller(request);
-//     const http_request forwarded = dialect.toBackend(request, call);
-//     const backend_facts response = dialect.readBackend(head);
+//     const caller_facts caller = codec.readCaller(request);
+//     const http_request forwarded = codec.toBackend(request, call);
+//     const backend_facts response = codec.readBackend(head);
 
 #include "coltsfootbend/base/id.h"
 #include "coltsfootbend/base/time.h"
@@ -76,9 +76,9 @@
 };
 
 // Reads and writes the headers of requests and responses. Implementations are stateless.
-class request_dialect {
+class header_codec {
 public:
-    virtual ~request_dialect() = default;
+    virtual ~header_codec() = default;
     // Reads the headers of a caller's request.
     virtual caller_facts readCaller(const http_request&) const = 0;
     // Returns the request that is sent to a backend server: without the headers that concern the caller's connection
--- a/coltsfootbend/gateway/request_admission.h
+++ b/coltsfootbend/gateway/request_admission.h
@@ -7,7 +7,7 @@
 //     if (!admitted) // answer admitted.error()
 
 #include "coltsfootbend/gateway/catalogue.h"
-#include "coltsfootbend/gateway/request_dialect.h"
+#include "coltsfootbend/gateway/header_codec.h"
 #include "coltsfootbend/limits/patience_tracker.h"
 
 #include <tl/expected.hpp>
