--- a/coltsfootbend/gateway/backend_notice.h
+++ b/coltsfootbend/gateway/backend_notice.h
@@ -1,7 +1,7 @@
 #pragma once
 
 // What a backend server asks for in its answers. Not for what it says of its load or of the request:
-// `backend_facts` in `gateway/header_codec.h` has those.
+// `response_metadata` in `gateway/header_codec.h` has those.
 //
 //     const backend_notice notice { .requestsPerSecond = 1.5, .rest = 3s };
 
--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -55,8 +55,8 @@
     , m_responder(responder)
     , m_catalogue(context.catalogue)
     , m_arrivedAt(clock_type::now())
-    , m_callerFacts(context.codec.readCaller(request))
-    , m_events(m_callerFacts.lastEvent)
+    , m_callerMetadata(context.codec.readCaller(request))
+    , m_events(m_callerMetadata.lastEvent)
 {
 }
 
@@ -88,7 +88,7 @@
             defaultRetryAfter);
         return false;
     }
-    const auto admitted = admitRequest(*m_catalogue, m_request, m_callerFacts, m_context.patience, m_arrivedAt);
+    const auto admitted = admitRequest(*m_catalogue, m_request, m_callerMetadata, m_context.patience, m_arrivedAt);
     if (!admitted) {
         sendError(admitted.error().status, admitted.error().why);
         return false;
@@ -266,7 +266,7 @@
         (*connection)->close();
         return next_step::TryAgain;
     }
-    const backend_call call { .server = server.id,
+    const forwarding_metadata call { .server = server.id,
         .customer = m_customer ? m_customer->id : customer_id(),
         .timeLeft = m_deadline - now,
         .priority = priority(),
@@ -281,7 +281,7 @@
             + " load=" + std::to_string(picked.load).substr(0, 5) + " report_age_ms="
             + (picked.reportAge ? std::to_string(std::lround(toMilliseconds(*picked.reportAge))) : "none")
             + " predicted_ms=" + std::to_string(std::lround(toMilliseconds(picked.predictedLatency))) + " time_left_ms="
-            + std::to_string(std::lround(toMilliseconds(m_callerFacts.timeLeft.value_or(duration::zero()))))
+            + std::to_string(std::lround(toMilliseconds(m_callerMetadata.timeLeft.value_or(duration::zero()))))
             + " returning=" + (m_isReturning ? "yes" : "no"));
     const auto sent = (*connection)->send(m_context.codec.toBackend(m_request, call), m_deadline);
     const auto nextStep = sent ? receiveResponse(picked, **connection, now) : handleFailure(picked, sent.error());
@@ -294,7 +294,7 @@
 {
     const auto matchesRequest = [this](const http_head& head) {
         const auto& id = m_context.codec.readBackend(head).requestId;
-        return id.empty() || id == m_callerFacts.requestId;
+        return id.empty() || id == m_callerMetadata.requestId;
     };
     watched_response watched(m_context.watchdog, picked.server.instance(), m_caller->connection);
     // The deadline of a resumed stream counts from its last event. Counted from the request's arrival it would have
@@ -306,12 +306,12 @@
     if (!head)
         return handleFailure(picked, watched.hasExpired() ? unresponsiveServerError() : head.error());
     watched.clearDeadlines();
-    const auto facts = m_context.codec.readBackend(*head);
-    receiveNotice(picked.server, facts, sentAt);
-    if (facts.load)
+    const auto metadata = m_context.codec.readBackend(*head);
+    receiveNotice(picked.server, metadata, sentAt);
+    if (metadata.load)
         m_context.picker.receiveResponseLoad(
-            picked.server.instance(), facts.load->running, facts.load->waiting, clock_type::now());
-    if (isSuccess(head->status) && (!facts.isSigned || facts.isEncoded))
+            picked.server.instance(), metadata.load->running, metadata.load->waiting, clock_type::now());
+    if (isSuccess(head->status) && (!metadata.isSigned || metadata.isEncoded))
         return handleFailure(
             picked, { error_kind::BadInput, "a successful response without signature or with a content encoding", "" });
     if (isSuccess(head->status) && m_route->kind == route_kind::Stream)
@@ -319,12 +319,12 @@
     return relayBody(picked, connection, *head, sentAt);
 }
 
-void exchange::receiveNotice(const backend_server& server, const backend_facts& facts, time_point sentAt)
+void exchange::receiveNotice(const backend_server& server, const response_metadata& metadata, time_point sentAt)
 {
-    if (facts.isOtherServer)
+    if (metadata.isOtherServer)
         return;
     const auto changes
-        = m_context.picker.notices().hearAnswer(server.instance(), facts.notice, sentAt, clock_type::now());
+        = m_context.picker.notices().hearAnswer(server.instance(), metadata.notice, sentAt, clock_type::now());
     if (changes.empty())
         return;
     logEvent(log_event::BackendNotice, "backend=" + server.id.text() + " " + changes + " source=answer");
@@ -347,11 +347,11 @@
         if (response.body.size() > maxBufferedBodySize)
             return handleFailure(picked, { error_kind::BadInput, "the response body is too long", "" });
     }
-    const auto facts = m_context.codec.readBackend(head);
+    const auto metadata = m_context.codec.readBackend(head);
     if (connection.isReusable())
-        m_context.connections.release(picked.server, m_caller->connection, facts.keptFor);
-    if (facts.isNotRun)
-        return handleNotRun(picked, head, facts);
+        m_context.connections.release(picked.server, m_caller->connection, metadata.keptFor);
+    if (metadata.isNotRun)
+        return handleNotRun(picked, head, metadata);
     recordOutcome(picked, isSuccess(head.status) ? backend_outcome::Answered : backend_outcome::Failed, latency);
     if (head.status >= 500) {
         m_serverErrorResponse = std::move(response);
@@ -376,14 +376,14 @@
 }
 
 exchange::next_step exchange::handleNotRun(
-    const picked_backend& picked, const http_head& head, const backend_facts& facts)
+    const picked_backend& picked, const http_head& head, const response_metadata& metadata)
 {
-    if (facts.atFault && *facts.atFault != picked.server.address && !facts.isOtherServer)
+    if (metadata.atFault && *metadata.atFault != picked.server.address && !metadata.isOtherServer)
         m_context.picker.onGroupFailed(picked.server.instance(), clock_type::now());
-    recordOutcome(picked, facts.isOtherServer ? backend_outcome::Replaced : backend_outcome::Busy);
+    recordOutcome(picked, metadata.isOtherServer ? backend_outcome::Replaced : backend_outcome::Busy);
     logEvent(log_event::RequestFailed,
         logFields() + " backend=" + picked.server.id.text() + " not_run=yes status=" + std::to_string(head.status)
-            + (facts.atFault ? " at_fault=" + toString(*facts.atFault) : ""));
+            + (metadata.atFault ? " at_fault=" + toString(*metadata.atFault) : ""));
     if (mayTryAgain())
         return next_step::TryAgain;
     finishWithoutServer();
@@ -515,8 +515,8 @@
 void exchange::sendError(int status, const error& why, std::optional<duration> retryAfter)
 {
     auto response = errorResponse(status, why);
-    if (!m_callerFacts.requestId.empty())
-        response.head.headers.push_back(m_context.codec.requestIdHeader(m_callerFacts.requestId));
+    if (!m_callerMetadata.requestId.empty())
+        response.head.headers.push_back(m_context.codec.requestIdHeader(m_callerMetadata.requestId));
     if (retryAfter)
         response.head.headers.push_back({ "Retry-After", formatSeconds(*retryAfter) });
     logEvent(log_event::RequestRefused,
@@ -559,7 +559,7 @@
 
 std::string exchange::logFields() const
 {
-    return "id=" + (m_callerFacts.requestId.empty() ? "-" : m_callerFacts.requestId)
+    return "id=" + (m_callerMetadata.requestId.empty() ? "-" : m_callerMetadata.requestId)
         + " route=" + (m_route ? m_route->name : "-") + " age_ms="
         + std::to_string(
             std::chrono::duration_cast<std::chrono::milliseconds>(clock_type::now() - m_arrivedAt).count());
--- a/coltsfootbend/gateway/exchange.h
+++ b/coltsfootbend/gateway/exchange.h
@@ -72,14 +72,14 @@
     // Reads the head of the response and relays the rest according to its kind.
     next_step receiveResponse(const picked_backend&, backend_connection&, time_point sentAt);
     // Records the limit, backoff or leaving that the response states. Ignores a response that another server sent.
-    void receiveNotice(const backend_server&, const backend_facts&, time_point sentAt);
+    void receiveNotice(const backend_server&, const response_metadata&, time_point sentAt);
     // Buffers the whole body and sends it to the caller as one response.
     next_step relayBody(const picked_backend&, backend_connection&, const http_head&, time_point sentAt);
     // Forwards complete events to the caller as they arrive.
     next_step relayStream(
         const picked_backend&, backend_connection&, const http_head&, watched_response&, time_point sentAt);
     // Handles a response that proves that the server did not run the request.
-    next_step handleNotRun(const picked_backend&, const http_head&, const backend_facts&);
+    next_step handleNotRun(const picked_backend&, const http_head&, const response_metadata&);
     // Handles an attempt that failed: the connection broke, the response was invalid, or the server was unresponsive.
     next_step handleFailure(const picked_backend&, const error&);
     // Leaves the queue of requests that wait for rate-limited servers.
@@ -120,7 +120,7 @@
     http_responder& m_responder;
     const catalogue_ptr m_catalogue;
     const time_point m_arrivedAt;
-    caller_facts m_callerFacts;
+    request_metadata m_callerMetadata;
     const route* m_route = nullptr;
     const customer* m_customer = nullptr;
     deployment_id m_deployment;
--- a/coltsfootbend/gateway/header_codec.h
+++ b/coltsfootbend/gateway/header_codec.h
@@ -4,9 +4,9 @@
 // this interface only; the platform's adapter implements it and knows the names of the headers. `net/http.h` and
 // `gateway/backend_connection.h` do the framing.
 //
-//     const caller_facts caller = codec.readCaller(request);
+//     const request_metadata caller = codec.readCaller(request);
 //     const http_request forwarded = codec.toBackend(request, call);
-//     const backend_facts response = codec.readBackend(head);
+//     const response_metadata response = codec.readBackend(head);
 
 #include "coltsfootbend/base/id.h"
 #include "coltsfootbend/base/time.h"
@@ -21,7 +21,7 @@
 namespace coltsfootbend {
 
 // What a caller states in the headers of a request.
-struct caller_facts {
+struct request_metadata {
     // The caller's identifier for this attempt of a request; empty when the caller sent none.
     std::string requestId;
     // How long the caller still waits for the response; none when it does not state it.
@@ -37,7 +37,7 @@
 };
 
 // What the gateway states in the headers when it sends a request to a backend server.
-struct backend_call {
+struct forwarding_metadata {
     backend_id server; // The intended server; any other server refuses the request.
     customer_id customer; // Empty for callers without a customer, on open routes.
     duration timeLeft {}; // Time until the request's deadline.
@@ -53,7 +53,7 @@
 };
 
 // What a backend server states in the headers of a response.
-struct backend_facts {
+struct response_metadata {
     // The response proves that the server did not run the request.
     bool isNotRun = false;
     // The server at this address is not the intended one (421 Misdirected Request).
@@ -80,12 +80,12 @@
 public:
     virtual ~header_codec() = default;
     // Reads the headers of a caller's request.
-    virtual caller_facts readCaller(const http_request&) const = 0;
+    virtual request_metadata readCaller(const http_request&) const = 0;
     // Returns the request that is sent to a backend server: without the headers that concern the caller's connection
     // only, and with those of the call.
-    virtual http_request toBackend(const http_request&, const backend_call&) const = 0;
+    virtual http_request toBackend(const http_request&, const forwarding_metadata&) const = 0;
     // Reads the headers of a backend server's response.
-    virtual backend_facts readBackend(const http_head&) const = 0;
+    virtual response_metadata readBackend(const http_head&) const = 0;
     // Returns the header that identifies the request to which the gateway itself responds.
     virtual http_header requestIdHeader(const std::string& id) const = 0;
     // Returns the headers of a server's response that are passed on to the caller.
--- a/coltsfootbend/gateway/request_admission.cpp
+++ b/coltsfootbend/gateway/request_admission.cpp
@@ -36,7 +36,7 @@
 } // namespace
 
 tl::expected<admitted_request, refused_request> admitRequest(const catalogue& catalogue, const http_request& request,
-    const caller_facts& facts, patience_tracker& patience, time_point arrivedAt)
+    const request_metadata& facts, patience_tracker& patience, time_point arrivedAt)
 {
     const auto host = findHeader(request.headers, "Host");
     const auto* matched = catalogue.findRoute(host.value_or(""), pathOf(request.target));
--- a/coltsfootbend/gateway/request_admission.h
+++ b/coltsfootbend/gateway/request_admission.h
@@ -33,6 +33,6 @@
 
 // Returns the admitted request, or the error to answer with. `arrivedAt`: start of the request's timeout.
 tl::expected<admitted_request, refused_request> admitRequest(
-    const catalogue&, const http_request&, const caller_facts&, patience_tracker&, time_point arrivedAt);
+    const catalogue&, const http_request&, const request_metadata&, patience_tracker&, time_point arrivedAt);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/request_admission_test.cpp
+++ b/coltsfootbend/gateway/request_admission_test.cpp
@@ -28,7 +28,7 @@
         m_catalogue.emplace(std::move(contents));
     }
 
-    tl::expected<admitted_request, refused_request> admit(const std::string& path, const caller_facts& facts)
+    tl::expected<admitted_request, refused_request> admit(const std::string& path, const request_metadata& facts)
     {
         const http_request request { "GET", path, { { "Host", "h" } }, "" };
         return admitRequest(*m_catalogue, request, facts, m_patience, start);
@@ -59,7 +59,7 @@
 {
     int toNew = 0;
     for (int i = 0; i < 1000; ++i) {
-        const caller_facts facts { .requestId = "r" + std::to_string(i) };
+        const request_metadata facts { .requestId = "r" + std::to_string(i) };
         const auto deployment = admit("/open/x", facts)->deployment;
         EXPECT_EQ(admit("/open/x", facts)->deployment, deployment);
         toNew += deployment == deployment_id("new") ? 1 : 0;
