--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -321,7 +321,7 @@
 
 void exchange::receiveNotice(const backend_server& server, const response_metadata& metadata, time_point sentAt)
 {
-    if (metadata.isOtherServer)
+    if (metadata.isMisdirected)
         return;
     const auto changes
         = m_context.picker.notices().hearAnswer(server.instance(), metadata.notice, sentAt, clock_type::now());
@@ -378,9 +378,9 @@
 exchange::next_step exchange::handleNotRun(
     const picked_backend& picked, const http_head& head, const response_metadata& metadata)
 {
-    if (metadata.atFault && *metadata.atFault != picked.server.address && !metadata.isOtherServer)
+    if (metadata.atFault && *metadata.atFault != picked.server.address && !metadata.isMisdirected)
         m_context.picker.onGroupFailed(picked.server.instance(), clock_type::now());
-    recordOutcome(picked, metadata.isOtherServer ? backend_outcome::Replaced : backend_outcome::Busy);
+    recordOutcome(picked, metadata.isMisdirected ? backend_outcome::Replaced : backend_outcome::Busy);
     logEvent(log_event::RequestFailed,
         logFields() + " backend=" + picked.server.id.text() + " not_run=yes status=" + std::to_string(head.status)
             + (metadata.atFault ? " at_fault=" + toString(*metadata.atFault) : ""));
--- a/coltsfootbend/gateway/header_codec.h
+++ b/coltsfootbend/gateway/header_codec.h
@@ -57,7 +57,7 @@
     // The response proves that the server did not run the request.
     bool isNotRun = false;
     // The server at this address is not the intended one (421 Misdirected Request).
-    bool isOtherServer = false;
+    bool isMisdirected = false;
     // For a refusal: address of the server that prevented the request from running, which is the refusing server itself
     // or another rank of its group.
     std::optional<endpoint> atFault;
