--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -56,7 +56,7 @@
     , m_catalogue(context.catalogue)
     , m_arrivedAt(clock_type::now())
     , m_callerMetadata(context.codec.readCaller(request))
-    , m_events(m_callerMetadata.lastEvent)
+    , m_events(m_callerMetadata.lastEventId)
 {
 }
 
@@ -349,7 +349,7 @@
     }
     const auto metadata = m_context.codec.readBackend(head);
     if (connection.isReusable())
-        m_context.connections.release(picked.server, m_caller->connection, metadata.keptFor);
+        m_context.connections.release(picked.server, m_caller->connection, metadata.keepAliveTimeout);
     if (metadata.isNotRun)
         return handleNotRun(picked, head, metadata);
     recordOutcome(picked, isSuccess(head.status) ? backend_outcome::Answered : backend_outcome::Failed, latency);
@@ -425,7 +425,8 @@
             break;
     }
     if (connection.isReusable())
-        m_context.connections.release(picked.server, m_caller->connection, m_context.codec.readBackend(head).keptFor);
+        m_context.connections.release(
+            picked.server, m_caller->connection, m_context.codec.readBackend(head).keepAliveTimeout);
     recordOutcome(picked, backend_outcome::Answered, latency);
     clearSuspicion();
     retryBudget().recordSuccess();
--- a/coltsfootbend/gateway/header_codec.h
+++ b/coltsfootbend/gateway/header_codec.h
@@ -27,13 +27,13 @@
     // How long the caller still waits for the response; none when it does not state it.
     std::optional<duration> timeLeft;
     // The caller's API key; none unless the request has exactly one.
-    std::optional<std::string> key;
+    std::optional<std::string> apiKey;
     // For a resumed stream: the id of the last event that the caller received.
-    std::optional<std::uint64_t> lastEvent;
+    std::optional<std::uint64_t> lastEventId;
     // Number of tokens in the prompt; 0 when not stated.
     std::uint32_t promptTokens = 0;
     // Limit for the number of tokens in the response; 0 when not stated.
-    std::uint32_t mostAnswerTokens = 0;
+    std::uint32_t maxAnswerTokens = 0;
 };
 
 // What the gateway states in the headers when it sends a request to a backend server.
@@ -72,7 +72,7 @@
     // The limit, backoff or leaving that the server announces.
     backend_notice notice;
     // How long the server keeps an idle connection open; none when not stated.
-    std::optional<duration> keptFor;
+    std::optional<duration> keepAliveTimeout;
 };
 
 // Reads and writes the headers of requests and responses. Implementations are stateless.
--- a/coltsfootbend/gateway/request_admission.cpp
+++ b/coltsfootbend/gateway/request_admission.cpp
@@ -44,7 +44,7 @@
         return tl::unexpected(refused_request { statusNotFound,
             { error_kind::NotFound, "no route fits this host and path", "Check the address, or add a route" } });
     }
-    const auto* caller = facts.key ? catalogue.findCustomer(*facts.key) : nullptr;
+    const auto* caller = facts.apiKey ? catalogue.findCustomer(*facts.apiKey) : nullptr;
     if (catalogue.hasCustomers() && !matched->isPublic && !caller) {
         return tl::unexpected(refused_request {
             statusUnauthorized, { error_kind::Denied, "the key is missing or not known", "Send one valid key" } });
--- a/coltsfootbend/gateway/request_admission_test.cpp
+++ b/coltsfootbend/gateway/request_admission_test.cpp
@@ -40,11 +40,11 @@
 
 TEST_F(request_admission_test, RequestWithoutRouteOrKeyIsRefused)
 {
-    EXPECT_EQ(admit("/elsewhere/", { .key = "good" }).error().status, 404);
-    EXPECT_EQ(admit("/empty/", { .key = "good" }).error().status, 404);
+    EXPECT_EQ(admit("/elsewhere/", { .apiKey = "good" }).error().status, 404);
+    EXPECT_EQ(admit("/empty/", { .apiKey = "good" }).error().status, 404);
     EXPECT_EQ(admit("/p/x", {}).error().status, 401);
-    EXPECT_EQ(admit("/p/x", { .key = "bad" }).error().status, 401);
-    EXPECT_EQ(admit("/p/x", { .key = "good" })->caller->id, customer_id("c"));
+    EXPECT_EQ(admit("/p/x", { .apiKey = "bad" }).error().status, 401);
+    EXPECT_EQ(admit("/p/x", { .apiKey = "good" })->caller->id, customer_id("c"));
     EXPECT_EQ(admit("/open/x", {})->caller, nullptr);
 }
 
