--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -93,7 +93,7 @@
 void backend_picker::receiveReport(const endpoint& address, const engine_report& report, time_point now)
 {
     for (auto& [id, state] : m_backends) {
-        if (state.server.address != address || !enterIncarnation(state, report.life))
+        if (state.server.address != address || !enterIncarnation(state, report.incarnation))
             continue;
         state.report = report;
         state.reportedAt = now;
--- a/coltsfootbend/gateway/backend_picker_test.cpp
+++ b/coltsfootbend/gateway/backend_picker_test.cpp
@@ -425,7 +425,7 @@
     m_picker.onRequestSent(instance(2), m_now);
     m_picker.onRequestFinished(instance(1), backend_outcome::Answered, 10ms, m_now);
     m_picker.receiveResponseLoad(instance(1), 6, 6, m_now);
-    m_picker.receiveReport(addressOf(1), { .life = backend_life(1), .running = 7 }, m_now);
+    m_picker.receiveReport(addressOf(1), { .incarnation = backend_life(1), .running = 7 }, m_now);
     EXPECT_EQ(m_picker.pick(request(plain), m_now)->load, 1);
 }
 
@@ -441,7 +441,7 @@
 TEST_F(restarted_backend_test, ReportOfARestartPrecedesTheStore)
 {
     m_picker.onRequestSent(instance(1), m_now);
-    m_picker.receiveReport(addressOf(1), { .life = backend_life(2), .running = 0 }, m_now);
+    m_picker.receiveReport(addressOf(1), { .incarnation = backend_life(2), .running = 0 }, m_now);
     restartAs(1);
     const auto picked = m_picker.pick(request(plain), m_now);
     ASSERT_TRUE(picked);
--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -245,7 +245,7 @@
     if (!engine)
         return;
     m_context->picker.receiveReport(*engine,
-        { .life = backend_life(update.life),
+        { .incarnation = backend_life(update.life),
             .running = update.running,
             .waiting = update.waiting,
             .pace = update.pace,
--- a/coltsfootbend/gateway/group_monitor.cpp
+++ b/coltsfootbend/gateway/group_monitor.cpp
@@ -37,8 +37,8 @@
 void group_monitor::receiveReport(const endpoint& address, const engine_report& report, time_point now)
 {
     // A report of a lower epoch is outdated, unless it comes from an engine that has just restarted.
-    const bool isRestart = report.life > m_newestIncarnation;
-    m_newestIncarnation = std::max(m_newestIncarnation, report.life);
+    const bool isRestart = report.incarnation > m_newestIncarnation;
+    m_newestIncarnation = std::max(m_newestIncarnation, report.incarnation);
     if (report.epoch < m_epoch && !isRestart)
         return;
     if (report.epoch != m_epoch)
