--- a/coltsfootbend/group/demand_estimator.cpp
+++ b/coltsfootbend/group/demand_estimator.cpp
@@ -8,20 +8,26 @@
 
 namespace {
 
-// The estimate rests on no more choices than this many rounds like the newest have: demand also drifts slowly.
+// Maximum number of rounds of the newest size that the estimate represents, so that it also follows slow changes of
+// demand.
 constexpr double mostRounds = 6;
-// Of what was estimated before a shift: of little use then, but not of none.
+// Weight that the estimate from before a shift keeps, relative to the newest round: it is less accurate then, but not
+// useless.
 constexpr double shiftedShare = 0.1;
-// A round this many times as far away as chance usually puts it shows a shift.
+// Ratio of a round's drift to the expected drift above which the round shows a shift.
 constexpr double shiftFactor = 1.5;
-// Until enough rounds were seen: between what rounds differ by with a shift and without one.
+// Drift limit used until the expected drift is learnt; lies between the typical drift of rounds with and without a
+// shift.
 constexpr double assumedShiftDrift = 0.16;
+// Number of rounds from which the expected drift is learnt.
 constexpr std::uint32_t roundsToLearn = 4;
+// Minimum weight of the newest round in the expected drift.
 constexpr double noiseSmoothing = 0.15;
-// With fewer choices for each expert chance decides which one looks busy.
+// Minimum number of choices in a round for each expert; with fewer, random variation determines which expert appears
+// busy.
 constexpr double leastChoicesPerExpert = 20;
 
-// The mean over the sets of the share that would have to move to turn one into the other.
+// Returns the mean over the sets of the share that differs between the two distributions (total variation distance).
 double distance(const group_demand& left, const group_demand& right)
 {
     double sum = 0;
@@ -79,8 +85,8 @@
     m_weight += m_counted;
 }
 
-// Also learns from the round: a shift counts as the drift that would just not have shown one, so that a series of
-// shifts raises the expectation only slowly and a single one hardly.
+// The drift of a shift is capped at the limit before it is learnt, so that a series of shifts raises the expected drift
+// only slowly and a single one hardly.
 bool demand_estimator::isShift()
 {
     const double spread = std::sqrt(1 / m_counted + 1 / m_weight);
--- a/coltsfootbend/group/demand_estimator.h
+++ b/coltsfootbend/group/demand_estimator.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The demand for each expert, from counts that come in rounds. The prompts of one round are few, so rounds are
-// averaged; but demand also shifts at once, and a round that differs from the estimate by more than chance explains
-// takes its place. How much chance explains is learnt from the rounds themselves. Deterministic.
+// Estimates the demand for each expert from counts that arrive in rounds. One round covers few prompts, so rounds are
+// averaged. Demand can also shift abruptly, so a round that differs from the estimate by more than random variation
+// explains replaces most of it. The expected random variation is learnt from the rounds themselves. Deterministic.
 //
 //     demand_estimator estimator(sets, experts);
 //     estimator.add(rankCounts); ...; estimator.endRound();
@@ -15,6 +15,7 @@
 
 namespace coltsfootbend {
 
+// The demand estimate of one group.
 class demand_estimator {
 public:
     demand_estimator(std::size_t sets, std::size_t experts)
@@ -23,32 +24,39 @@
     {
     }
 
-    // Adds what one rank counted in this round, by set and expert in one row. Others than this group's are ignored.
+    // Adds the counts of one rank in this round, in one row by set and expert. Rows of another size belong to another
+    // group and are ignored.
     void add(const std::vector<std::uint32_t>& counts);
 
-    // Takes the round into the estimate, unless too little was counted: then it goes on.
+    // Adds the round to the estimate. A round with too few counts continues instead, and later counts are added to it.
     void endRound();
 
-    // How far the newest round was from the estimate: the mean share of choices that went elsewhere, 0 to 1.
+    // Returns the distance of the newest round from the estimate: the mean over the sets of the share of choices that
+    // would have to change, 0 to 1.
     double drift() const { return m_drift; }
-    // How far chance alone would put it, as learnt so far; 0 until known.
+    // Returns the drift expected from random variation alone, as learnt so far; 0 until known.
     double expectedDrift() const { return m_expectedDrift; }
 
+    // Returns whether a round has been completed, so that `demand` is valid.
     bool isKnown() const { return m_isKnown; }
+    // Returns the estimated share of each expert in the choices of its set.
     const group_demand& demand() const { return m_demand; }
 
 private:
     void takeRound();
+    // Returns whether the newest round shows a shift of demand, and updates the expected drift.
     bool isShift();
 
     group_demand m_round;
     group_demand m_demand;
+    // Number of choices counted in the current round.
     double m_counted = 0;
-    // Choices that the estimate rests on; old ones count less and less.
+    // Effective number of choices behind the estimate; the contribution of earlier rounds decays.
     double m_weight = 0;
     double m_drift = 0;
     double m_expectedDrift = 0;
-    // The drift of a round times the root of the choices it rests on: constant while demand stays the same.
+    // Smoothed drift of the rounds, divided by the standard deviation expected for their number of choices: constant
+    // while demand is stable.
     double m_noise = 0;
     std::uint32_t m_noiseRounds = 0;
     bool m_isKnown = false;
--- a/coltsfootbend/group/demand_estimator_test.cpp
+++ b/coltsfootbend/group/demand_estimator_test.cpp
@@ -1,4 +1,4 @@
-// The demand of prompts that each belong to one topic, as counts show it round by round: what the estimate makes of it.
+// Tests the estimate for prompts that each belong to one topic, with counts that arrive in rounds.
 
 #include "coltsfootbend/group/demand_estimator.h"
 
@@ -13,7 +13,8 @@
 constexpr std::size_t experts = 72;
 constexpr int topics = 9;
 
-// Prompts choose topics, and each topic its own experts: few prompts make rounds that differ a lot from each other.
+// Generates the counts of prompts with random topics, where each topic has its own distribution of experts. Rounds of
+// few prompts therefore differ considerably from each other.
 class topic_world {
 public:
     explicit topic_world(unsigned seed)
@@ -43,7 +44,7 @@
         return counts;
     }
 
-    // The share of the true demand that the estimate has in the wrong place.
+    // Returns the share of the true demand that the estimate attributes to the wrong experts.
     double error(const group_demand& estimate) const
     {
         double sum = 0;
@@ -97,7 +98,8 @@
     EXPECT_LT(averaged, 0.55 * alone);
 }
 
-// A third of the topics changes. One that starts anew with the shift cannot do better than its two rounds allow.
+// A third of the topics changes. The reference is an estimator that starts at the shift, which is as good as two rounds
+// permit.
 TEST(DemandEstimator, FollowsAShiftNearlyAsWellAsIfItHadStartedThen)
 {
     double followed = 0;
--- a/coltsfootbend/group/group_state.cpp
+++ b/coltsfootbend/group/group_state.cpp
@@ -21,7 +21,7 @@
         || (state.armedVersion == target.version && state.armedStep == target.step && !state.isArmUncertain);
 }
 
-// The holds of the earliest pass: the group stands there first.
+// Adds the holds of the earliest held pass, which stops the group first.
 void addHolds(const known_states& states, group_resolution& resolution)
 {
     for (const auto* state : states) {
@@ -34,7 +34,7 @@
     }
 }
 
-// A switch that some rank is armed for, or may be.
+// Returns the switch that a rank is armed for, or may be; none if there is none.
 std::optional<armed_switch> findArmed(const known_states& states)
 {
     for (const auto* state : states) {
@@ -44,8 +44,8 @@
     return std::nullopt;
 }
 
-// A rank that neither uses the version nor has it prepared can never be armed for it. Only sure when no order for it is
-// open at any rank: otherwise the group rather stands still until that is settled.
+// Returns whether a rank can never be armed for `target`, because it neither uses that version nor has it prepared.
+// This is certain only while no rank has an arm order whose result is unknown; until then the group stays stalled.
 bool mustDisarm(const known_states& states, const armed_switch& target)
 {
     const bool isSure
@@ -55,6 +55,7 @@
     });
 }
 
+// Returns whether every rank has prepared `version` and none uses it.
 bool allPrepared(const known_states& states, engine_map_version version)
 {
     return version != 0 && std::all_of(states.begin(), states.end(), [version](const auto* state) {
@@ -62,10 +63,10 @@
     });
 }
 
-// The former leader's VM stands still while the group is held for its change. Its own rank cannot be asked, but it is
-// armed last, once all others are confirmed to be: while one of them is prepared by that leader and neither armed nor
-// about to be, and obeys a newer leader now, it never will be. So what others were ordered is taken back, and the pass
-// let begin.
+// Resolves a group whose previous leader's VM has stalled while a pass is held for its change. That leader's rank does
+// not answer, but it is armed last, after all others are confirmed to be armed. If another rank has prepared the
+// change, is neither armed nor about to be, and obeys a newer leader, the change can no longer complete and the missing
+// rank is never armed. It is then safe to disarm the others and release the pass.
 group_resolution resolveWithoutLeader(const known_states& known, rank_number missing)
 {
     const auto& first = *known.front();
@@ -77,11 +78,11 @@
     });
     if (resolution.heldStep == 0 || !isOneChange || first.preparedTerm == 0 || first.preparedVersion == 0
         || first.preparedVersion == first.mapVersion || leaderOf(first.preparedTerm) != missing)
-        return waitFor("a rank could not be asked");
+        return waitFor("a rank did not answer");
     const auto armed
         = std::count_if(known.begin(), known.end(), [](const auto* state) { return state->armedVersion != 0; });
     if (static_cast<std::size_t>(armed) == known.size())
-        return waitFor("the former leader may have armed its own rank");
+        return waitFor("the previous leader may have armed its own rank");
     resolution.target = { first.preparedVersion, resolution.heldStep };
     resolution.kind = armed > 0 ? group_todo::DisarmWithoutLeader : group_todo::ReleaseWithoutLeader;
     return resolution;
@@ -100,13 +101,13 @@
             continue;
         }
         if (!state->isOpen || (!known.empty() && state->epoch != known.front()->epoch))
-            return waitFor("the group is not whole");
+            return waitFor("the group is incomplete");
         known.push_back(&*state);
     }
     if (known.empty())
-        return waitFor("no rank is known");
+        return waitFor("no rank answered");
     if (missing.size() > 1)
-        return waitFor("ranks could not be asked");
+        return waitFor("several ranks did not answer");
     if (!missing.empty())
         return resolveWithoutLeader(known, missing.front());
     group_resolution resolution;
@@ -120,12 +121,12 @@
         else if (resolution.heldStep != 0)
             resolution.kind = group_todo::Release;
         else
-            return waitFor("a switch is about to happen");
+            return waitFor("all ranks are armed for a pass that has not begun");
         return resolution;
     }
     if (resolution.heldStep != 0) {
-        // Whoever held the pass may have ordered a switch that no report shows yet. It orders none before the same
-        // version is prepared everywhere.
+        // The process that held the pass may have ordered a switch that no report shows yet. It orders a switch only
+        // after the same version is prepared on every rank.
         const auto version = known.front()->preparedVersion;
         resolution.kind = allPrepared(known, version) ? group_todo::Arm : group_todo::Release;
         resolution.target = { version, resolution.heldStep };
@@ -133,7 +134,7 @@
     }
     for (const auto* state : known) {
         if (state->mapVersion != known.front()->mapVersion)
-            return waitFor("the ranks were asked while a switch happened");
+            return waitFor("the ranks answered during a switch");
     }
     resolution.kind = group_todo::Ready;
     return resolution;
--- a/coltsfootbend/group/group_state.h
+++ b/coltsfootbend/group/group_state.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// What all ranks of a group report, and what follows from it for a map change that was begun, by this leader or by one
-// that died. A change only ever goes forward: once a rank may be armed for a pass, every rank is armed for it before
-// the pass is let begin, because an order that was not answered can still be carried out. Deterministic.
+// Derives the next action of a group's leader from the states that all ranks report, for a map change that this leader
+// or a failed one has begun. A change only ever proceeds forward: once any rank may be armed for a pass, every rank is
+// armed for it before the pass may begin, because an order without an answer can still be carried out later.
+// Deterministic.
 //
 //     const auto todo = resolve(states);
 //     if (todo.kind == group_todo::Ready) planNextMap();
@@ -15,28 +16,31 @@
 
 namespace coltsfootbend {
 
+// Next action of the leader.
 enum class group_todo {
-    Ready, // All ranks use one map and nothing is under way.
-    Wait, // Not all ranks are known, the group is not whole, or a switch is about to happen.
-    Arm, // Arm every rank for `target`, then release it.
-    Disarm, // A rank can no longer take `target`, so those that are armed for it must not switch.
-    Release, // Let the held pass begin: either all ranks are armed for it, or none.
-    ReleaseWithoutLeader, // The same, although the former leader's rank cannot be asked; look twice before acting on
-                          // it.
-    DisarmWithoutLeader, // Before that, take back what the former leader ordered of some ranks.
+    Ready, // All ranks use the same map and no change is in progress.
+    Wait, // A rank is missing, the group is incomplete, or all ranks are armed for a pass that has yet to begin.
+    Arm, // Arm every rank for `target`, then release its pass.
+    Disarm, // A rank can no longer switch to `target`, so the ranks armed for it have to be disarmed.
+    Release, // Release the held pass: either all ranks are armed for it, or none.
+    // Release the held pass although the previous leader's rank does not answer. Repeat the query of all ranks before
+    // acting on this.
+    ReleaseWithoutLeader,
+    DisarmWithoutLeader, // Disarm the ranks that the previous leader armed, before `ReleaseWithoutLeader`.
 };
 
+// The next action and its arguments.
 struct group_resolution {
     group_todo kind = group_todo::Wait;
-    armed_switch target {}; // For all that arm or disarm; for `ReleaseWithoutLeader` what was prepared.
-    std::vector<rank_number> heldBy; // For `Release`, and after `Arm`.
-    pass_number heldStep = 0;
-    const char* reason = "";
+    armed_switch target {}; // Switch to arm or disarm; the prepared switch for `ReleaseWithoutLeader`.
+    std::vector<rank_number> heldBy; // Ranks that hold `heldStep`, for `Release` and after `Arm`.
+    pass_number heldStep = 0; // Earliest held pass; 0 if no pass is held.
+    const char* reason = ""; // Reason for `Wait`, for the log.
 
     bool operator==(const group_resolution&) const = default;
 };
 
-// `states`: by rank; none where a rank could not be asked. O(ranks).
+// Returns the next action for `states`, indexed by rank and empty where a rank did not answer. O(ranks).
 group_resolution resolve(const std::vector<std::optional<wire::rank_state>>& states);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/group_state_test.cpp
+++ b/coltsfootbend/group/group_state_test.cpp
@@ -90,7 +90,7 @@
     EXPECT_EQ(resolve(all).kind, group_todo::Wait);
 }
 
-// The order at the last rank was not answered: letting the pass begin could leave that rank behind.
+// One rank's arm order was not answered. If the pass were released, that rank could continue with the earlier map.
 TEST(GroupState, IsNotReleasedWhileOneRankIsUncertain)
 {
     auto all = threeRanks();
@@ -134,7 +134,7 @@
     EXPECT_EQ(resolve(all).kind, group_todo::Arm);
 }
 
-// Rank 0 led term 1 and stands still; the others obey a newer leader.
+// Rank 0 led in the first term and is stalled; the other ranks obey a newer leader.
 class frozen_leader_test : public testing::Test {
 protected:
     frozen_leader_test()
--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -1,6 +1,6 @@
-// Changes of map in large groups whose agents sit beside links of 6 Mbit/s in several data centres, with the real
-// leader, participants and relays. Only the links and engines are models. The checks hold on a busy machine as well;
-// how long a change took on this one is printed.
+// Tests map changes in large groups whose agents have links of 6 Mbit/s in several data centres, with the real leader,
+// participants and relays. Only links and engines are modelled. The checks also hold on a busy machine; the measured
+// duration of each change is printed.
 
 #include "coltsfootbend/group/map_leader.h"
 #include "coltsfootbend/group/relay_peers.h"
@@ -23,10 +23,10 @@
 constexpr duration withinDataCentre = 100us;
 constexpr duration betweenDataCentres = 900us;
 constexpr duration passTime = 40ms;
-// Besides the bytes of a message: framing, acknowledgements.
+// Bytes that framing and acknowledgements add to each message.
 constexpr std::size_t messageOverhead = 120;
 
-// What one agent's link carries, in each direction one message after the other.
+// One agent's link, which transfers one message at a time in each direction.
 struct model_link {
     time_point sendsAgainAt {};
     time_point receivesAgainAt {};
@@ -76,7 +76,7 @@
         transfer(from, to, wire::encode(message).size() + messageOverhead);
     }
 
-    // Of the maps in use under the demand of this moment.
+    // Returns the mean skew of the maps in use under the current demand.
     double skew() const
     {
         const auto ranks = engines.ranks();
@@ -194,11 +194,11 @@
 }
 
 struct change_figures {
-    duration untilGood {}; // From the shift of demand until a map is in force that fits it.
+    duration untilGood {}; // Time from the shift of demand until a fitting map is in use.
     bool isGood = false;
     int mixedPasses = 0;
-    double leaderBytesPerSecond = 0; // Sent and received, over the whole run.
-    double busiestBytesPerSecond = 0; // Of any other agent.
+    double leaderBytesPerSecond = 0; // Sent and received, averaged over the whole run.
+    double busiestBytesPerSecond = 0; // Highest rate of any other agent.
 };
 
 double bytesPerSecond(const model_link& link, duration length)
@@ -206,7 +206,7 @@
     return static_cast<double>(link.sent + link.received) / toMilliseconds(length) * 1000;
 }
 
-// Lets a group settle, shifts its demand and waits for the map that fits.
+// Waits until a group is stable, shifts its demand and waits for a fitting map.
 change_figures shiftDemand(rank_number ranks, std::uint32_t dataCentres)
 {
     constexpr double goodSkew = 1.6;
@@ -256,7 +256,7 @@
             isOver = true;
             while (open > 0)
                 runtime.sleepFor(10ms);
-            runtime.sleepFor(1s); // What is under way ends before the agents do.
+            runtime.sleepFor(1s); // Lets pending calls end before the agents are destroyed.
             runtime.stop();
         });
         runtime.run();
@@ -266,8 +266,8 @@
     return figures;
 }
 
-// Where the leader spoke with all ranks itself, its link was busy for 1.5 s with each change at 129 ranks, and no map
-// that fits was in force in 4 s.
+// Guards against a leader that exchanges all messages with every rank itself. With 129 ranks this occupies its link for
+// 1.5 s in each change, and no fitting map is in use within 4 s.
 TEST(LargeGroup, AMapThatFitsFollowsAShiftOfDemand)
 {
     for (const auto& [ranks, dataCentres] : { std::pair { 63U, 3U }, { 129U, 5U }, { 256U, 9U } }) {
@@ -277,12 +277,12 @@
     }
 }
 
-// Also where each message grows with the ranks, as rows that change and counts of experts do.
+// Holds although the size of each message grows with the number of ranks, as changed rows and expert counts do.
 TEST(LargeGroup, WhatOneAgentSendsAndReceivesGrowsMoreSlowlyThanTheGroup)
 {
     const auto small = shiftDemand(64, 4);
     const auto large = shiftDemand(256, 4);
-    constexpr double growth = 4; // Of the ranks.
+    constexpr double growth = 4; // Ratio of the numbers of ranks.
     EXPECT_LT(large.leaderBytesPerSecond, growth * small.leaderBytesPerSecond);
     EXPECT_LT(large.busiestBytesPerSecond, growth * small.busiestBytesPerSecond);
 }
--- a/coltsfootbend/group/map_coordinator.cpp
+++ b/coltsfootbend/group/map_coordinator.cpp
@@ -53,8 +53,8 @@
     m_state = state::Deciding;
 }
 
-// Every rank has promised: no other epoch below this one can decide any more, and what one has decided is known to
-// whichever rank took it.
+// Called once every rank has promised: no lower epoch can decide any more, and every earlier decision is part of the
+// schedule of a rank that received it.
 void map_coordinator::decide()
 {
     std::vector<map_segment> segments;
@@ -67,11 +67,11 @@
         highestLimit = std::max(highestLimit, promise.limit);
         decision.lives.push_back(promise.life);
     }
-    // Decisions only ever append, so what the ranks know are pieces of one history.
+    // Decisions only append segments, so the ranks' schedules are parts of one history.
     std::sort(segments.begin(), segments.end());
     segments.erase(std::unique(segments.begin(), segments.end()), segments.end());
-    // No rank has granted a step beyond the highest limit, and none will before it takes this decision: what an earlier
-    // one had planned for there need not happen any more.
+    // No rank has granted a step beyond the highest limit, and none will before it takes this decision. Segments that
+    // an earlier decision planned beyond that limit have not begun and are dropped.
     m_switchAt = highestLimit + 1;
     std::erase_if(segments, [this](const map_segment& segment) { return segment.from >= m_switchAt; });
     segments.push_back({ m_switchAt, m_options.map });
@@ -99,7 +99,7 @@
     if (message.promised > m_options.epoch || isNewLife) {
         m_state = state::Overtaken;
     } else if (m_state == state::Proposing) {
-        // It has not, or no longer, loaded the map: a restarted rank begins anew.
+        // The rank has not loaded the map, for instance after a restart: repeat the preparation.
         m_ranks[rank] = {};
         m_state = state::Preparing;
     }
@@ -121,7 +121,7 @@
     return orders;
 }
 
-// Nothing was decided, and nothing will be: this object sends no decision after it.
+// Safe because nothing has been decided and this object sends no decision in its final state.
 std::vector<coordinator_order> map_coordinator::giveUp()
 {
     const bool promised = m_state == state::Proposing;
--- a/coltsfootbend/group/map_coordinator.h
+++ b/coltsfootbend/group/map_coordinator.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Brings one map change about in a group: prepare, promise, decide. Any process may run one, several may at once, and
-// one that was paused may wake: safety is the ranks'. It asks again until every rank has answered, finishes what an
-// earlier coordinator had decided, and gives up cleanly while nothing is decided. Deterministic. One object for one
-// epoch.
+// Drives one map change in a group through its three phases: prepare, promise, decide. Any process may run a
+// coordinator, several may run concurrently, and a paused one may resume: the ranks guarantee safety. Repeats requests
+// until every rank has answered, completes what an earlier coordinator had decided, and abandons the change cleanly
+// while nothing is decided. Deterministic. One object serves one epoch.
 //
 //     map_coordinator change({ .epoch = epoch, .map = map, .ranks = 256, .giveUpAt = deadline });
 //     for (const auto& order : change.tick(now)) send(order.rank, order.message);
@@ -17,43 +17,46 @@
 
 namespace coltsfootbend {
 
+// A message to be sent to one rank.
 struct coordinator_order {
     rank_number rank = 0;
     coordinator_message message;
 };
 
+// The coordinator of one epoch.
 class map_coordinator {
 public:
     enum class state {
         Preparing,
         Proposing,
         Deciding,
-        Done, // Every rank has taken the decision.
-        GivenUp, // Nothing was decided by this epoch.
-        Overtaken, // A rank has promised a higher epoch, or begun a new life: a higher epoch has to finish this.
+        Done, // Every rank uses the decided schedule.
+        GivenUp, // The deadline passed before this epoch decided.
+        Overtaken, // A rank has promised a higher epoch, or has restarted: a higher epoch has to complete the change.
     };
 
     struct options {
         map_epoch epoch;
         map_version map;
         rank_number ranks = 0;
-        // Until a decision is made: when to give up.
+        // Time at which the change is abandoned if nothing is decided.
         time_point giveUpAt {};
+        // Interval at which requests without an answer are repeated.
         duration askAgainAfter = std::chrono::milliseconds(50);
     };
 
     explicit map_coordinator(const options&);
 
-    // Returns what to send now. Call at the start and from time to time.
+    // Returns the messages to send now. Call at the start and periodically afterwards.
     std::vector<coordinator_order> tick(time_point now);
 
-    // Takes one rank's answer.
+    // Processes one rank's answer. Returns the messages to send in response.
     std::vector<coordinator_order> handle(time_point now, rank_number, const rank_message&);
 
     state current() const { return m_state; }
-    // The first step under the new map, once decided.
+    // Returns the first step under the new map; 0 before the decision.
     step_number switchAt() const { return m_switchAt; }
-    // The highest epoch heard of; the next one must be higher.
+    // Returns the highest epoch seen. The next epoch must be higher.
     map_epoch highestSeen() const { return m_highestSeen; }
 
 private:
@@ -67,7 +70,9 @@
     void on(rank_number, const switch_promised&);
     void on(rank_number, const switch_taken&);
     void on(rank_number, const switch_refused&);
+    // Builds the decision from the promises of all ranks.
     void decide();
+    // Returns the current phase's request for every rank that has not answered it.
     std::vector<coordinator_order> ask(time_point now);
     std::vector<coordinator_order> giveUp();
 
--- a/coltsfootbend/group/map_coordinator_test.cpp
+++ b/coltsfootbend/group/map_coordinator_test.cpp
@@ -33,7 +33,7 @@
     auto change = twoRanks();
     loadBoth(change);
     const map_schedule known { { 1, 1 }, { { 1, map_version(1) } } };
-    EXPECT_TRUE(change.handle(start, 0, promise(1, 40, known)).empty()) << "one rank's word is not enough";
+    EXPECT_TRUE(change.handle(start, 0, promise(1, 40, known)).empty()) << "one promise is not enough";
     const auto orders = change.handle(start, 1, promise(2, 55, known));
     ASSERT_EQ(orders.size(), 2U);
     EXPECT_EQ(change.switchAt(), 56U);
--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -12,18 +12,24 @@
 
 namespace {
 
-// While the group is not whole: how soon it is looked at again. A group that was formed anew has its first map.
+// Interval between rounds while the group is incomplete. A group that forms anew uses its initial map.
 constexpr std::chrono::milliseconds waitCycle { 100 };
+// Timeout of holding a pass, including repetitions.
 constexpr std::chrono::milliseconds holdLimit { 250 };
-// An engine answers an order at once, or not at all.
+// Timeout of a single hold order: an engine answers an order immediately or not at all.
 constexpr std::chrono::milliseconds holdAnswerLimit { 40 };
+// Timeouts of releasing a pass at all ranks, and at the holder alone.
 constexpr std::chrono::milliseconds releaseLimit { 600 };
 constexpr std::chrono::milliseconds holderReleaseLimit { 150 };
+// Passes that are tried as the pass of a switch before the change is abandoned.
 constexpr int holdTries = 3;
+// Bounds of the number of passes between the current one and a switch.
 constexpr pass_number leastPassesAhead = 2;
 constexpr pass_number mostPassesAhead = 16;
-// Versions that two leaders choose without knowing of each other must differ.
+// Range of the random increment of a map version, which makes versions differ between leaders that do not know of each
+// other.
 constexpr std::uint32_t versionSpread = 1U << 16U;
+// Weight of the newest measurement in the smoothed pass duration.
 constexpr double passSmoothing = 0.3;
 
 std::string describe(const armed_switch& target)
@@ -31,7 +37,8 @@
     return "version=" + std::to_string(target.version) + " step=" + std::to_string(target.step);
 }
 
-// How many ranks are missing, and the first few of them: a line of the log does not grow with the group.
+// Describes how many ranks are missing and lists the first few, so that the length of a log line does not grow with the
+// group.
 std::string describeMissing(const std::vector<std::optional<wire::rank_state>>& states)
 {
     constexpr std::size_t mostNamed = 8;
@@ -46,7 +53,7 @@
     return "missing=" + std::to_string(missing) + " first=" + (named.empty() ? "-" : named);
 }
 
-// The leader's own rank, ordered while the others are.
+// An order to the leader's own rank, carried out while the orders to the other ranks are under way.
 class own_answer {
 public:
     own_answer(fiber_runtime& runtime, map_participant& own, const wire::rank_order& order, duration limit)
@@ -59,13 +66,13 @@
         });
     }
 
-    // Blocks until the rank has answered, or the limit has passed.
+    // Blocks until the rank has answered or the deadline has passed.
     result<wire::rank_state> take()
     {
         if (!m_work->state)
             (void)m_work->isDone.waitUntil(m_limit);
         if (!m_work->state)
-            return fail(error_kind::TimedOut, "the own engine did not answer", "Look at its log");
+            return fail(error_kind::TimedOut, "the local engine did not answer", "Check the engine's log");
         return *m_work->state;
     }
 
@@ -79,10 +86,11 @@
         fiber_signal isDone;
     };
 
-    const std::shared_ptr<work> m_work; // Outlives the call.
+    const std::shared_ptr<work> m_work; // Shared with the fiber, which may outlive this object.
     const time_point m_limit;
 };
 
+// Returns the rows of `after` that differ from `before`.
 std::vector<wire::rank_row> changedRows(const group_map& before, const group_map& after)
 {
     std::vector<wire::rank_row> rows;
@@ -95,7 +103,7 @@
     return rows;
 }
 
-// What ranks answered later takes the place of what they answered before.
+// Replaces earlier answers by later ones of the same rank.
 void takeOver(std::vector<result<wire::rank_state>>& answers, const std::vector<result<wire::rank_state>>& later)
 {
     for (const auto& answer : later) {
@@ -163,8 +171,8 @@
     return to;
 }
 
-// Only ranks that have told of this formation are ordered: a rank of another group whose epoch counts alike would carry
-// the order out as well.
+// Only ranks that reported this formation receive orders: a rank of another group with an equal epoch number would
+// carry the order out as well.
 template <typename Order>
 std::vector<result<wire::rank_state>> map_leader::orderAll(
     Order order, const std::vector<member>& members, duration limit)
@@ -188,14 +196,14 @@
 {
     const auto limit = clock_type::now() + m_options.queryLimit;
     const wire::rank_query query { .scope = { .term = m_term, .group = m_group, .epoch = m_epoch } };
-    // Answers are of no interest here: a newer leader's term comes with the answers to the step itself.
+    // The answers are not needed: a newer leader's term also arrives with the answers to the step itself.
     m_runtime.spawn([&carrier = m_carrier, query, to = addresseesOf(m_members), limit] {
         (void)carrier.carry(query, to, limit, {});
     });
 }
 
-// In the own data centre as far as there are enough: counts are by far the longest of what comes up to the leader, and
-// bytes between data centres are dear. Always the same ranks, so that each one's counts are those of one round.
+// Prefers ranks in the own data centre: counts are by far the largest part of the answers, and traffic between data
+// centres is expensive. Selects the same ranks in every round, so that the counts of each rank cover exactly one round.
 void map_leader::chooseDemandSources(std::vector<addressee>& to) const
 {
     std::vector<std::pair<bool, std::size_t>> farAndPlace;
@@ -213,7 +221,7 @@
     wire::rank_query query { .scope = { .term = m_term, .group = m_own.group(), .epoch = m_epoch },
         .wantsDemand = true,
         .wantsMap = m_wantsMap };
-    // A leader whose own engine does not answer lets somebody else lead, and so does one whose rank is another one now.
+    // A leader whose engine does not answer, or whose rank has changed, does no round, so that another rank takes over.
     const auto own = m_own.answer(query, clock_type::now() + limit);
     if (!own || own->group != query.scope.group || leaderOf(m_term) != own->rank)
         return {};
@@ -221,7 +229,7 @@
     m_rank = own->rank;
     states_by_rank states(own->ranks);
     states[own->rank] = *own;
-    std::vector<addressee> to; // The channels may be replaced meanwhile.
+    std::vector<addressee> to; // A copy: `m_others` may be replaced while this fiber is blocked.
     for (const auto& channel : m_others)
         to.push_back({ .channel = channel });
     chooseDemandSources(to);
@@ -292,7 +300,8 @@
     return waitCycle;
 }
 
-// A group may stand still while its leader waits, so the reason and who is missing are told once each time it begins.
+// Logs the reason and the missing ranks only when the reason changes: a group may be stalled for as long as its leader
+// waits.
 void map_leader::noteWaiting(const group_resolution& todo, const states_by_rank& states)
 {
     const std::string reason = todo.kind == group_todo::Wait ? todo.reason : "";
@@ -305,7 +314,6 @@
         "wait=\"" + reason + "\" held=" + std::to_string(todo.heldStep) + " " + describeMissing(states));
 }
 
-// Takes the counts, the time of passes and the map in use from what the ranks told.
 void map_leader::learn(const states_by_rank& states)
 {
     for (const auto& state : states) {
@@ -393,8 +401,9 @@
 
 double map_leader::idleFactor(const states_by_rank& states) const
 {
-    // From this share of the slots on, every pass that takes longer lets requests wait.
+    // Share of occupied slots above which every longer pass delays requests.
     constexpr double busyShare = 0.75;
+    // Factor in a group without any request.
     constexpr double mostFactor = 5;
     double requests = 0;
     for (const auto& state : states)
@@ -422,7 +431,7 @@
         "step=prepared version=" + std::to_string(version) + " begun=" + std::to_string(*step)
             + " held=" + std::to_string(held.value_or(0)));
     if (!held || isDeposed())
-        return; // A hold that comes late is found by the next round.
+        return; // A hold that takes effect later is found and released by the next round.
     m_nextVersion = version;
     m_nextMap = plan.next;
     if (!armAll({ version, *held }))
@@ -434,7 +443,8 @@
 
 std::optional<pass_number> map_leader::prepareAll(engine_map_version version, const group_map& map)
 {
-    // Most ranks know the map in use, so that only what changes has to travel.
+    // Most ranks know the map in use, so only the changed rows are sent at first; ranks that lack the base receive the
+    // whole map.
     wire::rank_prepare prepare;
     prepare.version = version;
     prepare.baseVersion = m_mapVersion;
@@ -456,7 +466,8 @@
         if (!answer || answer->preparedVersion != version || !isOfFormation(*answer)) {
             logEvent(log_event::MapChangeFailed,
                 "step=prepare version=" + std::to_string(version) + " why=\""
-                    + (answer ? "rank " + std::to_string(answer->rank) + " has not got it" : toString(answer.error()))
+                    + (answer ? "rank " + std::to_string(answer->rank) + " did not prepare the map"
+                              : toString(answer.error()))
                     + "\"");
             return std::nullopt;
         }
@@ -465,10 +476,10 @@
     return step;
 }
 
-// Late orders come in spells, so one slow arming is remembered for a few changes.
+// Delayed orders occur in bursts, so one slow arming is remembered for several changes.
 void map_leader::noteArming(duration took)
 {
-    constexpr int rememberedShare = 3; // A quarter is forgotten with each change.
+    constexpr int rememberedShare = 3; // A quarter decays with each change.
     m_armingTime = std::max(took, m_armingTime * rememberedShare / (rememberedShare + 1));
 }
 
@@ -491,7 +502,7 @@
     const auto limit = clock_type::now() + holdLimit;
     result<wire::rank_state> state = fail(error_kind::TimedOut, "the engine did not confirm the hold", "");
     while (clock_type::now() < limit && !isDeposed()) {
-        // Unanswered or refused: the report tells whether it was carried out.
+        // The result is ignored: the rank's state shows whether the hold was carried out.
         (void)holder.channel->hold(m_epoch, step, std::min(limit, clock_type::now() + holdAnswerLimit));
         state = holder.channel->ask(wire::rank_query { .scope = scopeOf(holder.rank) }, limit);
         if (!state || !isOfFormation(*state) || state->heldStep != 0 || state->step >= step)
@@ -502,11 +513,13 @@
     return state;
 }
 
-// Counts from the pass that the own rank has just begun: what the others told of theirs is older by the copying of
-// experts. Each pass of waiting runs under the worse map; a hold that is reached costs only what is left of arming.
+// Counts from the pass that the own rank has just begun, since the other ranks reported theirs before they copied
+// experts. Passes before the switch run under the worse map, so the held pass is as near as arming permits; if the
+// group reaches it early, only the remainder of arming delays it.
 //
-// The pass is held at another rank's engine, ordered from here: a VM that stands still takes its own engine's hold with
-// it, and nobody can let the group go on until it wakes, which no stream of the group outlasts.
+// The pass is held at another rank's engine, by a direct order from this process. If the own engine held the pass and
+// its VM stalled, no other process could release it before the VM resumed, which takes longer than the timeouts of the
+// group's streams.
 std::optional<pass_number> map_leader::holdAhead(pass_number step)
 {
     const auto* found = holder();
@@ -522,12 +535,12 @@
             break;
         step = std::max(step, state->step);
     }
-    ++m_holder; // The next change is held elsewhere.
+    ++m_holder; // The next change uses another holder.
     logEvent(log_event::MapChangeFailed, "step=hold");
     return std::nullopt;
 }
 
-// The own rank comes last: an old leader that others no longer obey must not arm it alone.
+// Arms the own rank last: a superseded leader that the other ranks no longer obey must not arm its own rank alone.
 bool map_leader::armAll(const armed_switch& target)
 {
     wire::rank_arm arm { .scope = {}, .version = target.version, .step = target.step };
@@ -555,7 +568,8 @@
     (void)orderAll(wire::rank_disarm { .scope = {}, .version = version }, m_members, m_options.armLimit);
 }
 
-// At the rank that holds the pass: an order to all takes a round of the whole group, for which passes may stand.
+// Asks only the holder first: an order to all ranks takes a round trip through the whole group, during which passes may
+// be stopped.
 void map_leader::releaseHeld(pass_number step)
 {
     if (isDeposed())
--- a/coltsfootbend/group/map_leader.h
+++ b/coltsfootbend/group/map_leader.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Leads one group's changes of its expert map: gathers what all ranks report, finishes what a former leader began, and
-// when the demand has moved away from the map plans a better one and brings it into use at one pass on all ranks. Every
-// rank has to take part, so two leaders cannot both get anything done. Blocks the calling fiber. Not for a rank's own
-// part: see `group/map_participant.h`.
+// Runs the leader's side of expert map changes in one group. Each round collects the state of all ranks, completes a
+// change that a previous leader left unfinished and, when demand no longer fits the map in use, plans a better map and
+// switches all ranks to it at the same pass. Every rank has to take part in a change, so two concurrent leaders cannot
+// both complete one. Blocks the calling fiber. Not for a rank's own part in a change: see `group/map_participant.h`.
 //
 //     while (participant.term() == term)
 //         runtime.sleepFor(leader.lead(term));
@@ -20,46 +20,53 @@
 
 namespace coltsfootbend {
 
+// The leader of one group's map changes, in use while the own rank holds the highest term.
 class map_leader {
 public:
     struct options {
         map_planner::options planner;
+        // Number of expert sets of the model, and of experts in each set.
         std::uint32_t sets = 0;
         std::uint32_t experts = 0;
-        // Other ranks that are asked for their counts: enough to tell what is in demand, few enough for their links.
+        // Maximum number of other ranks whose expert counts are requested: enough to estimate demand, few enough not to
+        // load the links.
         std::uint32_t demandSources = 16;
-        // Requests that one rank runs at once.
+        // Requests that one rank runs concurrently.
         std::uint32_t slots = 1;
-        // Between two rounds of counts.
+        // Interval between two rounds that collect expert counts.
         duration cycle = std::chrono::milliseconds(200);
-        // A change has to lower the mean skew by this much.
+        // Minimum reduction of the mean skew for which a change is made.
         double leastGain = 0.06;
+        // Interval of the heartbeats by which the ranks know during a long step that the leader is alive.
         duration beatEvery = std::chrono::milliseconds(400);
+        // Timeout of a query to all ranks.
         duration queryLimit = std::chrono::milliseconds(300);
+        // Timeout of preparing a map on all ranks, which includes copying experts.
         duration prepareLimit = std::chrono::milliseconds(2500);
+        // Timeout of an arm or disarm order to all ranks.
         duration armLimit = std::chrono::milliseconds(800);
-        // The pass of a switch is chosen so far ahead that all ranks are armed before it, and nothing waits. Follows
-        // what arming took lately, between these.
+        // Bounds of the expected arming time. The pass of a switch is chosen far enough ahead that all ranks are armed
+        // before it and no pass has to wait; the distance follows the recently observed arming times.
         duration leastArmingTime = std::chrono::milliseconds(80);
         duration mostArmingTime = std::chrono::milliseconds(900);
     };
 
-    // `carrier`: by which ranks are asked all at once; must outlive the leader.
+    // `carrier` sends orders to many ranks at once; it must outlive the leader.
     map_leader(
         fiber_runtime&, map_participant& own, order_carrier&, const options&, std::minstd_rand::result_type seed);
 
-    // The other ranks of the group; may be called with more, of other groups, which are asked and never ordered. Takes
-    // effect at the next round.
+    // Sets the channels to the other ranks of the group. Ranks of other groups may be included: they are queried but
+    // receive no orders. Takes effect at the next round.
     void setOthers(std::vector<std::shared_ptr<rank_channel>> others) { m_others = std::move(others); }
 
-    // Does one round as leader with `term`. Returns after which time the next one is due.
+    // Runs one round as leader with `term`. Returns the delay until the next round is due.
     duration lead(leader_term term);
 
-    // True when all ranks of the group answered the last round.
+    // Returns whether all ranks of the group answered the last round.
     bool isComplete() const { return m_isComplete; }
 
 private:
-    // Another rank that has told of the leader's own formation in this round.
+    // Another rank that reported the leader's own formation in this round.
     struct member {
         rank_number rank = 0;
         std::shared_ptr<rank_channel> channel;
@@ -67,47 +74,62 @@
 
     using states_by_rank = std::vector<std::optional<wire::rank_state>>;
 
+    // Queries all ranks, and updates the list of members that belong to the own formation.
     states_by_rank gather(duration limit);
-    // Speaks to all ranks while a long step is under way, so that nobody takes the leader for dead.
+    // Sends a query to all ranks during a long step, so that they do not assume that the leader has failed.
     void beat();
-    // What every query to a rank of the own formation names.
+    // Returns the scope that every query to a rank of the own formation carries.
     wire::order_scope scopeOf(rank_number) const;
-    // The same of the next order.
+    // Returns the scope of the next order, with a new serial number.
     wire::order_scope nextScope();
-    // Asks the other ranks all at the same time, and takes note of newer leaders.
+    // Sends `order` to all addressees concurrently, and yields to a newer leader whose term an answer reports.
     carried_order askAll(const wire::rank_order&, const std::vector<addressee>&, duration limit);
-    // Orders the own rank and `members` at the same time. The own rank's answer comes first.
+    // Sends an order to the own rank and to `members` concurrently. The own rank's answer is the first element.
     template <typename Order>
     std::vector<result<wire::rank_state>> orderAll(Order, const std::vector<member>& members, duration limit);
-    // Orders all members but the own rank.
+    // Sends an order to all members, without the own rank.
     template <typename Order> std::vector<result<wire::rank_state>> orderOthers(Order, duration limit);
+    // Marks the addressees whose expert counts are requested.
     void chooseDemandSources(std::vector<addressee>&) const;
     std::vector<addressee> addresseesOf(const std::vector<member>&) const;
+    // Yields to the leader of a higher term that `state` reports.
     void noteTerm(const wire::rank_state&);
+    // Updates the demand estimate, the formation and the pass duration from a round of states.
     void learn(const states_by_rank&);
-    // Takes the time of passes from how far the group has come.
+    // Updates the estimated pass duration from the number of passes begun since the last measurement.
     void notePasses(pass_number step);
+    // Logs why the leader has to wait, once for each change of the reason.
     void noteWaiting(const group_resolution&, const states_by_rank&);
-    // A group that formed anew, or with restarted engines, has its first map again.
+    // Drops the known map when the group has formed anew or an engine has restarted: such a group uses its initial map
+    // again.
     void noteFormation(const states_by_rank&);
     bool isMapKnown(const wire::rank_state& own) const;
+    // Plans a map for the estimated demand and brings it into use if the gain is sufficient. Returns the delay until
+    // the next round.
     duration planAndChange(const states_by_rank&);
-    // By how much dearer a copy is than in a busy group: skew costs only where ranks are short of time.
+    // Returns the factor by which the required gain is raised in a group with idle capacity: skew costs time only where
+    // ranks are busy.
     double idleFactor(const states_by_rank&) const;
+    // Prepares, holds, arms and releases one map change.
     void change(const states_by_rank&, const map_plan&);
-    // Prepares `map` on all ranks. Returns the latest pass that any of them has begun; none when one has not got it.
+    // Prepares `map` on all ranks. Returns the latest pass that any of them has begun, or none if any rank did not
+    // prepare it.
     std::optional<pass_number> prepareAll(engine_map_version version, const group_map& map);
+    // Holds a pass far enough ahead for arming. Returns its number, or none if no hold was confirmed.
     std::optional<pass_number> holdAhead(pass_number step);
-    // Holds the pass `step` at the rank of `channel`. Returns the rank's state afterwards.
+    // Holds the pass `step` at the given rank. Returns the rank's state afterwards.
     result<wire::rank_state> holdAt(const member&, pass_number step);
-    // The rank at which passes are held: never the own one.
+    // Returns the rank at which passes are held, which is never the own rank; null if there is no other member.
     const member* holder() const;
-    // True when a second look at all ranks shows the same.
+    // Queries all ranks again, and returns whether their states lead to the same resolution.
     bool isConfirmed(const group_resolution&);
+    // Arms all ranks for `target`, the own rank last. Returns whether all of them are confirmed to be armed.
     bool armAll(const armed_switch&);
     void disarmAll(engine_map_version);
+    // Releases the pass at the rank that holds it, or at all ranks if that rank does not confirm.
     void releaseHeld(pass_number step);
     void releaseAll(pass_number step);
+    // Returns how many passes after the current one a switch is scheduled.
     pass_number passesAhead() const;
     void noteArming(duration took);
     bool isOfFormation(const wire::rank_state& state) const { return state.group == m_group && state.epoch == m_epoch; }
@@ -120,34 +142,36 @@
     const map_planner m_planner;
     std::minstd_rand m_random;
     std::vector<std::shared_ptr<rank_channel>> m_others;
-    // From the rank after the own on; and which of them holds passes.
+    // Reached ranks of the own formation, in cyclic order from the rank after the own one, and the index of the one
+    // that holds passes.
     std::vector<member> m_members;
     std::size_t m_holder = 0;
     bool m_isComplete = false;
     demand_estimator m_demand;
-    std::vector<std::uint32_t> m_relayedDemand; // Of the last round, summed on the way here.
+    std::vector<std::uint32_t> m_relayedDemand; // Expert counts of the last round, summed by the relaying ranks.
     leader_term m_term = 0;
-    // What tells this run of a leader from another one that may have had the same term before its process was started
-    // anew, and how many orders it has given.
+    // Identifies this instance of a leader, since an earlier process may have led with the same term; and the number of
+    // orders that it has sent.
     const std::uint64_t m_run;
     std::uint64_t m_serial = 0;
     group_epoch m_epoch = 0;
-    std::vector<std::uint64_t> m_lives; // Of the engines, by rank; 0 where not told.
+    std::vector<std::uint64_t> m_lives; // Incarnations of the engines by rank; 0 if not reported.
     std::string m_group;
-    rank_number m_rank = 0; // The own one.
-    std::string m_formedGroup; // Of the map and the lives that are known.
+    rank_number m_rank = 0;
+    std::string m_formedGroup; // Group to which the known map and incarnations belong.
     bool m_wantsMap = true;
-    // Why nothing can be done at the moment; empty when something can.
+    // Reason for which no change can be made at present; empty if changes are possible.
     std::string m_waitReason;
     engine_map_version m_mapVersion = 0;
-    std::optional<group_map> m_map; // In use, of `m_mapVersion` in `m_epoch`.
+    std::optional<group_map> m_map; // Map in use, version `m_mapVersion` of epoch `m_epoch`; none if unknown.
+    // The last map that this leader has held a pass for.
     engine_map_version m_nextVersion = 0;
     group_map m_nextMap;
-    // For the time that a pass takes.
+    // Number and time of the last measured pass, and the smoothed pass duration in milliseconds.
     pass_number m_lastStep = 0;
     time_point m_lastStepAt {};
     double m_passMs = 60;
-    // What arming all ranks took, the longest lately.
+    // Longest recent duration of arming all ranks, decaying with each change.
     duration m_armingTime {};
 };
 
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -1,5 +1,5 @@
-// Leaders and participants against a model of a group's engines that carries orders out late, loses answers and forms
-// the group anew, while leaders are paused and agents die. What must hold: no pass begins with two maps.
+// Tests leaders and participants against a model of a group's engines that carries out orders late, loses answers and
+// forms the group anew after a crash, while VMs stall. The invariant under test: no pass runs with two maps.
 
 #include "coltsfootbend/group/map_leader.h"
 #include "coltsfootbend/group/relay_peers.h"
@@ -21,14 +21,14 @@
 constexpr duration freezeLength = 2500ms;
 
 struct trial_faults {
-    double lateShare = 0; // Of the orders: not answered, and carried out later.
-    double lostShare = 0; // Of the messages between agents.
-    duration epochLength = std::chrono::hours(1); // After which a rank crashes and the group is formed anew.
-    duration messageTime = 1ms; // From one agent to another.
-    duration queryLimit = 100ms; // For a round of the whole group.
+    double lateShare = 0; // Share of the orders that are not answered and are carried out later.
+    double lostShare = 0; // Share of the messages between agents that are lost.
+    duration epochLength = std::chrono::hours(1); // Time after which a rank crashes and the group forms anew.
+    duration messageTime = 1ms; // Latency of a message between two agents.
+    duration queryLimit = 100ms; // Timeout of a query to the whole group.
 };
 
-// An engine as the agent on its VM sees it: while the VM stands still, so does whatever asks it.
+// An engine as seen by the agent on the same VM: calls block while the VM is stalled.
 class local_engine final : public rank_engine {
 public:
     local_engine(fiber_runtime& runtime, model_group& group, rank_number rank, const time_point& pausedUntil)
@@ -78,13 +78,14 @@
     const time_point& m_pausedUntil;
 };
 
-// How orders reach the ranks: from the leader straight to each, or each rank hands them on to one other.
+// Whether the leader sends orders to each rank directly, or each rank relays them to one other rank.
 enum class order_path { Direct, Relayed };
 
 struct model_agent;
 using model_agents = std::vector<std::unique_ptr<model_agent>>;
 
-// Hands relayed orders on to other agents of the model; messages are lost, and wait for VMs that stand still.
+// Delivers relayed orders to other agents of the model. Messages may be lost, and are delayed while the receiver's VM
+// is stalled.
 class model_transport final : public relay_transport {
 public:
     model_transport(fiber_runtime& runtime, model_group& group, const trial_faults& faults, const model_agents& agents,
@@ -100,7 +101,8 @@
     result<wire::relayed_answers> send(const wire::relayed_order&, time_point deadline) override;
 
 private:
-    // What waits for a VM that stands still is taken, and handed on, when it wakes: its clock has not counted the time.
+    // Delivers an order when the stalled VM of its receiver resumes. The receiver's clock did not count the time, so
+    // the order's time left is unchanged.
     void carryOutLate(model_agent&, const wire::relayed_order&);
 
     fiber_runtime& m_runtime;
@@ -110,7 +112,7 @@
     const model_agent& m_from;
 };
 
-// One rank's agent: its part, and its leader when it leads.
+// One rank's agent with its participant and its leader.
 struct model_agent {
     model_agent(fiber_runtime& runtime, model_group& group, rank_number number, unsigned seed,
         const trial_faults& faults, const model_agents& agents, order_path path)
@@ -136,7 +138,7 @@
     {
     }
 
-    time_point pausedUntil {}; // Its VM stands still.
+    time_point pausedUntil {}; // The agent's VM is stalled until then.
     const duration queryLimit;
     rank_number rank;
     local_engine engine;
@@ -208,7 +210,7 @@
         return state;
     }
 
-    // The engine stands still with its agent's VM.
+    // The engine is stalled together with its agent's VM.
     result<void> hold(group_epoch epoch, pass_number step, time_point deadline) override
     {
         m_runtime.sleepFor(1ms);
@@ -240,7 +242,7 @@
     time_point m_silentUntil {};
 };
 
-// Lets each agent's leader reach all others.
+// Connects each agent's leader to all other agents.
 void connectAll(fiber_runtime& runtime, model_group& group, const trial_faults& faults, const model_agents& agents)
 {
     for (const auto& agent : agents) {
@@ -258,11 +260,11 @@
     int mixedPasses = 0;
     int switches = 0;
     int freezes = 0;
-    duration longestStand {}; // Between two passes.
+    duration longestStand {}; // Longest time between two passes.
     bool isMoving = false;
 };
 
-// Whether the group has come to where the leader's VM is to stand still.
+// Returns whether the group is in the state in which the leader's VM is to be stalled.
 using freeze_moment = std::function<bool(const model_group&)>;
 
 bool isHeldSomewhere(const model_group& group)
@@ -282,7 +284,7 @@
     return armed;
 }
 
-// Lets the VM of whoever leads stand still for `length` at each such moment, with time between to recover.
+// Stalls the VM of the current leader for `length` whenever `moment` holds, with time to recover in between.
 void freezeLeaders(fiber_runtime& runtime, const model_group& group, const model_agents& agents,
     const freeze_moment& moment, duration length, time_point until, trial_result& outcome)
 {
@@ -299,7 +301,7 @@
     }
 }
 
-// Begins passes until `until`, and forms the group anew from time to time.
+// Begins passes until `until`, and forms the group anew periodically.
 void runPasses(
     fiber_runtime& runtime, model_group& group, const trial_faults& faults, time_point until, trial_result& outcome)
 {
@@ -316,8 +318,8 @@
     }
 }
 
-// One agent's loop: leads while its term says so, and takes over from a leader that is silent. It stands still now and
-// then where `pauseShare` is given.
+// Runs one agent: leads while the newest term is its own, and claims the lead when the leader is unresponsive. With
+// probability `pauseShare` an iteration stalls the agent's VM.
 void runAgent(fiber_runtime& runtime, model_agent& agent, time_point until, model_group& group, double pauseShare)
 {
     while (clock_type::now() < until) {
@@ -328,7 +330,8 @@
         if (pauseShare > 0 && group.chance(pauseShare))
             agent.pausedUntil = clock_type::now() + 350ms;
         const auto rank = agent.engine.place().rank();
-        const auto silence = agent.queryLimit + 50ms + rank * 60ms; // A leader may be waiting for an answer.
+        // Longer than a query, since a leader may be waiting for an answer.
+        const auto silence = agent.queryLimit + 50ms + rank * 60ms;
         const auto term = agent.participant->term();
         if (term != 0 && leaderOf(term) == rank)
             runtime.sleepFor(std::max<duration>(agent.leader->lead(term), 1ms));
@@ -339,7 +342,7 @@
     }
 }
 
-// Runs a group for `length`. `pauses`: the agent that leads stands still, time and again, and another takes over.
+// Runs one group for `length`. With `pauses`, agents stall at random, so that the lead changes repeatedly.
 trial_result play(order_path path, const trial_faults& faults, bool pauses, unsigned seed, duration length,
     const freeze_moment& freezeAt = {})
 {
@@ -369,7 +372,7 @@
             outcome.mixedPasses = group->mixedPasses();
             outcome.switches = group->switches() / static_cast<int>(ranks);
             outcome.isMoving = group->lastPassAt() > until - 1500ms;
-            // What is still waiting for an answer has to end before the model does.
+            // Lets pending calls end before the model is destroyed.
             runtime.sleepFor(1500ms);
             runtime.stop();
         });
@@ -378,8 +381,8 @@
     return outcome;
 }
 
-// Two groups of one service. From time to time both are formed anew at the same moment, so that their epochs count
-// alike, and the engines of one rank change places.
+// Runs two groups of one service. Periodically both form anew at the same time, so that their epoch numbers are equal,
+// and two engines trade groups.
 trial_result playTwoGroups(order_path path, const trial_faults& faults, unsigned seed, duration length)
 {
     trial_result outcome;
@@ -438,14 +441,14 @@
     return outcome;
 }
 
-// The tests play fixed seeds; others are played by hand with COLTSFOOTBEND_MAP_SEED.
+// Returns the seed of a test. Set COLTSFOOTBEND_MAP_SEED to shift the fixed seeds in manual runs.
 unsigned seedOf(unsigned fixed)
 {
     const char* shift = std::getenv("COLTSFOOTBEND_MAP_SEED");
     return fixed + (shift ? static_cast<unsigned>(std::strtoul(shift, nullptr, 10)) : 0);
 }
 
-// Whatever way orders take, the same must hold.
+// Runs each test with direct and with relayed orders.
 class map_leader_trial : public testing::TestWithParam<order_path> { };
 
 INSTANTIATE_TEST_SUITE_P(OrdersGo, map_leader_trial, testing::Values(order_path::Direct, order_path::Relayed),
@@ -490,12 +493,9 @@
     EXPECT_TRUE(outcome.isMoving);
 }
 
-// A data centre was cut off, and both groups of a service were formed anew, each in its second epoch. One leader
-// planned map 64859, the other 48878, and was told that a rank "has not got it": it had been given 64859, the higher
-// version, for the other group. Elsewhere such a rank was armed for it as well, and the next pass of its group began
-// with two maps:
-//     40.9841 E701 group=g0-1 epoch=2 version=64859
-//     41.2719 E704 step=prepare version=48878 why="rank 24 has not got it"
+// Guards against a map version prepared for one group being armed in another. When two groups form anew with equal
+// epoch numbers, a rank may be prepared with the version of the other group's leader while its own leader plans a
+// different one; if it is armed for that version, the next pass of its group begins with two maps.
 TEST_P(map_leader_trial, NeverMixesMapsOfTwoGroupsWhenOrdersAreCarriedOutLate)
 {
     const auto outcome
@@ -505,8 +505,7 @@
     EXPECT_TRUE(outcome.isMoving);
 }
 
-// The leader's VM stands still while the group is held and nobody is armed yet. What it held is let go by the next
-// leader.
+// The leader's VM stalls while a pass is held and no rank is armed. The next leader must release the held pass.
 TEST_P(map_leader_trial, AGroupThatIsHeldByALeaderThatStandsStillGoesOn)
 {
     const auto held = [](const model_group& group) { return isHeldSomewhere(group) && armedRanks(group) == 0; };
@@ -517,12 +516,12 @@
     EXPECT_TRUE(outcome.isMoving);
 }
 
-// A round of a large group takes longer than a second look was given, so that nobody let the group go on before the
-// leader woke: 4.0 s at 129 ranks.
+// Guards against a confirming query with a shorter timeout than a round of a large group needs. The query then always
+// fails, no process releases the held pass, and the group is stalled until the leader resumes (4.0 s with 129 ranks).
 TEST_P(map_leader_trial, AGroupWhoseRoundsTakeLongGoesOnWithoutALeaderThatStandsStill)
 {
-    // As the hold begins: later, orders to arm are on their way, and once all others are armed nobody can know of the
-    // leader's own rank.
+    // Stalls the leader as the hold begins. Later, orders to arm are under way, and once all other ranks are armed the
+    // state of the leader's own rank cannot be inferred.
     const auto held = [wasHeld = true](const model_group& group) mutable {
         const bool isHeld = isHeldSomewhere(group) && armedRanks(group) == 0;
         const bool begins = isHeld && !wasHeld;
--- a/coltsfootbend/group/map_planner.cpp
+++ b/coltsfootbend/group/map_planner.cpp
@@ -11,17 +11,18 @@
 
 using expert = std::uint32_t;
 
-// One way to relieve the busiest rank: `taken` gets a copy on rank `to`, in the place of `dropped` if that is given.
+// A possible move that lowers the load of the busiest rank: `taken` is copied to rank `to`, where it replaces `dropped`
+// if that is set.
 struct candidate_move {
     expert taken = 0;
     rank_number to = 0;
     std::optional<expert> dropped;
-    bool leaves = false; // `taken` goes away from the busiest rank.
-    bool exchanges = false; // `dropped` goes to the busiest rank.
-    double score = 0; // The largest load of the ranks concerned, afterwards.
+    bool leaves = false; // `taken` is removed from the busiest rank.
+    bool exchanges = false; // `dropped` is copied to the busiest rank.
+    double score = 0; // Largest load of the affected ranks after the move.
 };
 
-// The ranks and experts of one set while it is planned.
+// The working state of the plan for one set.
 class set_plan {
 public:
     set_plan(const rank_experts& experts, const std::vector<double>& load, const std::vector<double>& paces,
@@ -53,7 +54,8 @@
                        : 1;
     }
 
-    // Makes the best move for the busiest rank. Returns how many experts are copied; 0 when none helps.
+    // Applies the best move for the busiest rank. Returns the number of copied experts, at least 1; 0 if no move lowers
+    // the load.
     std::uint32_t relieve()
     {
         const auto busiest
@@ -70,7 +72,8 @@
     }
 
 private:
-    // A move must lower the busiest rank by this share, so that rounding cannot keep the planner busy.
+    // Minimum share by which a move must lower the busiest rank's load, so that rounding errors cannot cause endless
+    // moves.
     static constexpr double leastGain = 1e-6;
 
     double share(expert which) const { return m_load[which] / static_cast<double>(m_holders[which].size()); }
@@ -147,7 +150,7 @@
             } else {
                 const double left = static_cast<double>(m_holders[*move.dropped].size()) - 1;
                 const double rise = m_load[*move.dropped] / left - share(*move.dropped);
-                // Whoever else holds the dropped expert takes over its share.
+                // The remaining holders of the dropped expert take over its share.
                 for (const auto holder : m_holders[*move.dropped]) {
                     if (holder == busiest)
                         mine += rise;
@@ -198,27 +201,28 @@
     }
 
     const map_planner::options& m_options;
-    const std::vector<std::uint32_t> m_copiesLeft; // By rank, for all sets; empty where nothing limits them.
+    const std::vector<std::uint32_t> m_copiesLeft; // By rank, over all sets; empty if unlimited.
     const std::vector<double>& m_load;
     const std::vector<double>& m_paces;
     const rank_experts& m_original;
     rank_experts m_experts; // By rank.
     std::vector<std::vector<rank_number>> m_holders; // By expert.
-    std::vector<std::uint32_t> m_new; // By rank: experts that it did not have.
+    std::vector<std::uint32_t> m_new; // By rank: number of experts that the rank did not hold before.
     std::vector<double> m_loads; // By rank.
 };
 
-// Moves made without a gain of their own, in the hope of a later one, before a set's plan is cut. Several ranks may be
-// equally busy, so that one move alone gains nothing.
+// Number of consecutive moves without a gain that are tried before the plan of a set ends. Several ranks may be equally
+// busy, so a single move often gains nothing by itself.
 constexpr std::uint32_t patience = 8;
 
-// Experts that one rank has to copy.
+// Returns how many experts of `after` one rank has to copy.
 std::uint32_t newOn(const std::vector<expert>& before, const std::vector<expert>& after)
 {
     return static_cast<std::uint32_t>(std::count_if(after.begin(), after.end(),
         [&](expert held) { return std::find(before.begin(), before.end(), held) == before.end(); }));
 }
 
+// Returns how many experts all ranks have to copy.
 std::uint32_t copies(const rank_experts& before, const rank_experts& after)
 {
     std::uint32_t count = 0;
@@ -227,7 +231,7 @@
     return count;
 }
 
-// Where copies are scarce, the sets that lose most by their skew get them first.
+// Returns the sets in order of decreasing skew, so that the limited copies go to the sets that lose most.
 std::vector<std::size_t> worstFirst(
     const group_map& current, const group_demand& demand, const std::vector<double>& paces)
 {
--- a/coltsfootbend/group/map_planner_test.cpp
+++ b/coltsfootbend/group/map_planner_test.cpp
@@ -12,7 +12,7 @@
 constexpr rank_number ranks = 12;
 constexpr std::uint32_t experts = 72;
 
-// The map that a group starts with: experts in turn, some places free.
+// Returns the initial map of a group: experts assigned to the ranks in turn, with some places free.
 group_map firstMap(std::size_t sets)
 {
     group_map map(sets, rank_experts(ranks));
@@ -74,7 +74,8 @@
     EXPECT_LT(map_planner::skewOf(plan.next, demand, paces), map_planner::skewOf(firstMap(1), demand, paces));
 }
 
-// Whatever the demand and however many plans follow each other, a map is one that the engines accept.
+// For any demand and any number of successive plans, a planned map is valid for the engines: it keeps every expert, and
+// respects the number of places and the limit of new experts.
 RC_GTEST_PROP(MapPlanner, EveryPlanIsAMapThatEnginesAccept, ())
 {
     const auto places = *rc::gen::inRange<std::uint32_t>(6, 10);
@@ -102,7 +103,8 @@
     }
 }
 
-// A shift of demand at full load: passes run under the worse map until the rank with the most copies has made them all.
+// A shift of demand at full load: passes run under the worse map until the rank with the most copies has made all of
+// them, so the copies of one change are limited.
 TEST(MapPlanner, OneChangeBringsNoRankMoreCopiesThanItMayAndStillTakesMostOfTheSkew)
 {
     constexpr std::size_t sets = 4;
@@ -124,7 +126,7 @@
     }
     EXPECT_GT(first.gain(), whole.gain() / 2);
     const auto second = map_planner(limited).plan(first.next, demand, evenPaces);
-    EXPECT_LT(second.skewAfter, first.skewAfter) << "what is left follows";
+    EXPECT_LT(second.skewAfter, first.skewAfter) << "the remaining moves follow";
 }
 
 } // namespace
--- a/coltsfootbend/group/placement.cpp
+++ b/coltsfootbend/group/placement.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-// How many of the least busy ranks are tried as the other side of a move.
+// Number of least loaded ranks that are considered as targets of a move.
 constexpr std::size_t candidateRanks = 24;
-// Moves made without a gain of their own, in the hope of a later one, before the planner stops.
+// Number of consecutive moves without a gain that are tried before the planner stops.
 constexpr std::size_t patience = 12;
 
 } // namespace
@@ -23,7 +23,7 @@
     made.m_slots = slots;
     made.m_expert.resize(static_cast<std::size_t>(ranks) * slots);
     made.m_replicas.resize(experts);
-    // Every round through the experts is shifted by one, so that copies of an expert lie on different ranks.
+    // Each round through the experts is shifted by one, so that the replicas of an expert are on different ranks.
     for (std::uint32_t slot = 0; slot < slots; ++slot) {
         for (rank_number rank = 0; rank < ranks; ++rank) {
             const auto index = static_cast<std::size_t>(slot) * ranks + rank;
@@ -81,16 +81,17 @@
 
 namespace {
 
-// One way to relieve the busiest rank.
+// A possible move that lowers the load of the busiest rank.
 struct candidate_move {
-    bool isExchange = false; // Two experts travel; otherwise one replica more.
+    bool isExchange = false; // Two experts trade slots; otherwise an expert is replicated.
     rank_number from = 0;
     std::uint32_t fromSlot = 0;
     rank_number to = 0;
     std::uint32_t toSlot = 0;
-    double score = 0; // The larger load of the two ranks afterwards.
+    double score = 0; // Largest load of the affected ranks after the move.
 };
 
+// The working state of a plan: applies moves to a copy of the placement.
 class planner {
 public:
     planner(const placement& current, const expert_load& load)
@@ -103,7 +104,7 @@
     const placement& result() const { return m_placement; }
     double skew() const { return m_placement.skew(m_load); }
 
-    // Makes the best move for the busiest rank. Returns how many experts travel; 0 when none helps.
+    // Applies the best move for the busiest rank. Returns the number of moved experts; 0 if no move lowers the load.
     std::size_t relieve()
     {
         const auto busiest
@@ -148,7 +149,8 @@
             best = move;
     }
 
-    // One more replica of an expert of the busiest rank, in place of one that lies elsewhere too.
+    // Returns the move that replicates an expert of the busiest rank in place of one that has another replica; none if
+    // it is not possible.
     std::optional<candidate_move> replicate(
         rank_number busiest, std::uint32_t slot, rank_number other, std::uint32_t otherSlot) const
     {
@@ -162,7 +164,7 @@
         const double droppedAfter = m_load[dropped] / (m_placement.replicas(dropped) - 1);
         const double rise = droppedAfter - each(dropped);
         double score = std::max(left, right);
-        // Whoever else holds the dropped expert takes over its share.
+        // The remaining holders of the dropped expert take over its share.
         for (rank_number rank = 0; rank < m_placement.ranks(); ++rank) {
             if (rank != other && m_placement.holds(rank, dropped))
                 score = std::max(score, m_loads[rank] + rise);
@@ -170,6 +172,7 @@
         return candidate_move { false, busiest, slot, other, otherSlot, score };
     }
 
+    // Returns the move that exchanges the experts of two slots; none if a rank would hold an expert twice.
     std::optional<candidate_move> exchange(
         rank_number busiest, std::uint32_t slot, rank_number other, std::uint32_t otherSlot) const
     {
@@ -198,8 +201,8 @@
     std::size_t moves = 0;
     std::size_t idle = 0;
     double bestValue = 0;
-    // Several ranks may be equally busy, so one move alone often gains nothing: the plan is cut where it was worth
-    // most.
+    // Several ranks may be equally busy, so a single move often gains nothing by itself. The plan is truncated to the
+    // sequence of moves with the highest value.
     while (moves < options.maxMoves && idle < patience) {
         const auto made = planner.relieve();
         if (made == 0)
--- a/coltsfootbend/group/placement.h
+++ b/coltsfootbend/group/placement.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Which experts of one layer lie on which ranks, and the moves that make the busiest rank less busy. The slowest rank
-// sets the pace of all, so what counts is the largest load over the mean; every move costs weights to be loaded, so a
-// move is planned only while it gains more than it costs. Deterministic. Not for agreeing on a plan: see
-// `group/map_coordinator.h`.
+// The assignment of one layer's experts to ranks, and the planner of moves that lower the load of the busiest rank. The
+// slowest rank limits the pace of all ranks, so the skew is the largest load divided by the mean. Every move costs
+// loading weights, so a move is planned only if it gains more than it costs. Deterministic. Not for agreeing on a plan:
+// see `group/map_coordinator.h`.
 //
 //     placement current = placement::initial(256, 256, 2);
 //     auto plan = planRebalance(current, load, { .gainPerMove = 0.002, .maxMoves = 32 });
@@ -17,32 +17,35 @@
 
 using expert_number = std::uint32_t;
 
-// Share of a layer's tokens that go to each expert; sums to 1.
+// Share of a layer's tokens that each expert receives; sums to 1.
 using expert_load = std::vector<double>;
 
+// The experts in each rank's slots.
 class placement {
 public:
-    // Spreads `experts` over `ranks` with `slots` each, every expert at least once. Precondition: ranks x slots is at
-    // least experts.
+    // Returns a placement of `experts` on `ranks` with `slots` slots each that holds every expert at least once.
+    // Precondition: ranks x slots is at least experts.
     static placement initial(rank_number ranks, expert_number experts, std::uint32_t slots);
 
     rank_number ranks() const { return m_ranks; }
     std::uint32_t slots() const { return m_slots; }
     expert_number experts() const { return static_cast<expert_number>(m_replicas.size()); }
 
+    // Returns the expert in `slot` of `rank`.
     expert_number at(rank_number rank, std::uint32_t slot) const { return m_expert[rank * m_slots + slot]; }
+    // Returns the number of slots that hold `expert`.
     std::uint32_t replicas(expert_number expert) const { return m_replicas[expert]; }
     bool holds(rank_number, expert_number) const;
-    // Puts `expert` into a slot in place of what lies there. Precondition: that one lies elsewhere too.
+    // Replaces the expert in a slot. Precondition: the replaced expert has another replica.
     void replace(rank_number, std::uint32_t slot, expert_number);
-    // Exchanges what lies in two slots.
+    // Exchanges the experts of two slots.
     void exchange(rank_number left, std::uint32_t leftSlot, rank_number right, std::uint32_t rightSlot);
 
-    // Load of each rank when every expert's tokens are spread evenly over its replicas. O(slots).
+    // Returns the load of each rank if every expert's tokens are spread evenly over its replicas. O(slots).
     std::vector<double> rankLoads(const expert_load&) const;
-    // Largest rank load over the mean; 1 is perfect.
+    // Returns the largest rank load divided by the mean; 1 is perfect balance.
     double skew(const expert_load&) const;
-    // How many slots of `next` hold an expert that this placement does not have on that rank.
+    // Returns how many slots of `next` hold an expert that this placement does not have on the same rank.
     std::size_t movesTo(const placement& next) const;
 
 private:
@@ -53,12 +56,14 @@
 };
 
 struct rebalance_options {
-    // By how much the skew must fall for each expert that is moved: what one move costs, in skew over the time that the
-    // plan is expected to stand.
+    // Minimum reduction of the skew for each moved expert: the cost of one move, in skew over the time that the plan is
+    // expected to be in use.
     double gainPerMove = 0;
+    // Maximum number of experts that are moved.
     std::size_t maxMoves = 0;
 };
 
+// A planned placement, its number of moves and its effect on the skew.
 struct rebalance_plan {
     placement next;
     std::size_t moves = 0;
@@ -66,7 +71,7 @@
     double skewAfter = 1;
 };
 
-// Plans moves from `current` for the load that is expected. O(moves x (ranks + candidates x slots^2)).
+// Plans moves from `current` for the expected load. O(moves x (ranks + candidates x slots^2)).
 rebalance_plan planRebalance(const placement& current, const expert_load&, const rebalance_options&);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/rebalancer.h
+++ b/coltsfootbend/group/rebalancer.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// Decides when one layer of a group is rebalanced and how: it estimates the experts' load from reports that are late
-// and have gaps, plans at set times by the deployment's own weights, and keeps out of protected hours and live events
-// unless the skew passes a stated limit. Deterministic. Not for carrying a plan out: see `group/map_coordinator.h`.
+// Decides when and how one layer of a group is rebalanced. Estimates the experts' load from reports that may be late or
+// missing, plans at a fixed interval with the deployment's own cost of a move, and makes no plan in protected windows,
+// such as busy hours and live events, unless the skew exceeds a configured limit. Deterministic. Not for carrying out a
+// plan: see `group/map_coordinator.h`.
 //
 //     rebalancer layer(placement::initial(256, 256, 2), { .gainPerMove = 0.0004, .interval = 2min, ... });
 //     layer.observe(load);
@@ -17,41 +18,44 @@
 
 namespace coltsfootbend {
 
-// From `start` until before `end` nothing is moved.
+// A half-open time window [start, end) in which no expert is moved.
 struct protected_window {
     time_point start {};
     time_point end {};
 };
 
+// The load estimate and rebalancing schedule of one layer.
 class rebalancer {
 public:
     struct options {
-        // What moving one expert costs, in skew. The Cámara's is small, Panopano's is large.
+        // Cost of moving one expert, in skew. Varies by deployment: a larger value makes fewer moves.
         double gainPerMove = 0;
+        // Maximum number of experts that one plan moves.
         std::size_t maxMoves = 64;
+        // Interval between two plans.
         duration interval {};
-        // Share of the newest report in the estimate.
+        // Weight of the newest report in the load estimate, 0 to 1.
         double smoothing = 0.3;
-        // A protected window is broken only when the skew is beyond this.
+        // Skew above which experts are moved in a protected window as well.
         double protectedLimit = std::numeric_limits<double>::infinity();
     };
 
     rebalancer(placement current, const options&);
 
-    // Takes one report of how the tokens were spread. Precondition: one value for each expert.
+    // Adds one report of the experts' load to the estimate. Precondition: the report has one value for each expert.
     void observe(const expert_load&);
 
     void setProtected(std::vector<protected_window> windows) { m_protected = std::move(windows); }
     bool isProtected(time_point now) const;
 
-    // Returns a plan when one is due, allowed, and worth its moves. Changes nothing but the time of the next.
+    // Returns a plan if one is due, permitted and worth its moves. Changes no state but the time of the next plan.
     std::optional<rebalance_plan> decide(time_point now);
 
-    // Says that a plan's map is in use.
+    // Sets the current placement once the plan is in use.
     void carriedOut(const rebalance_plan& plan) { m_current = plan.next; }
 
     const placement& current() const { return m_current; }
-    // The skew by the estimate; 1 before the first report.
+    // Returns the skew of the current placement under the estimated load; 1 before the first report.
     double expectedSkew() const { return m_estimate.empty() ? 1 : m_current.skew(m_estimate); }
 
 private:
