--- a/coltsfootbend/group/demand_estimator.h
+++ b/coltsfootbend/group/demand_estimator.h
@@ -31,8 +31,8 @@
     // Adds the round to the estimate. A round with too few counts continues instead, and later counts are added to it.
     void endRound();
 
-    // Returns the distance of the newest round from the estimate: the mean over the sets of the share of choices that
-    // would have to change, 0 to 1.
+    // Returns the distance of the newest round from the estimate: the mean over the sets of the share of choices
+    // that would have to change, 0 to 1.
     double drift() const { return m_drift; }
     // Returns the drift expected from random variation alone, as learnt so far; 0 until known.
     double expectedDrift() const { return m_expectedDrift; }
@@ -43,22 +43,22 @@
     const group_demand& demand() const { return m_demand; }
 
 private:
-    void takeRound();
+    void addRoundToEstimate();
     // Returns whether the newest round shows a shift of demand, and updates the expected drift.
     bool isShift();
 
     group_demand m_round;
     group_demand m_demand;
     // Number of choices counted in the current round.
-    double m_counted = 0;
+    double m_roundChoices = 0;
     // Effective number of choices behind the estimate; the contribution of earlier rounds decays.
-    double m_weight = 0;
+    double m_estimateChoices = 0;
     double m_drift = 0;
     double m_expectedDrift = 0;
     // Smoothed drift of the rounds, divided by the standard deviation expected for their number of choices: constant
     // while demand is stable.
-    double m_noise = 0;
-    std::uint32_t m_noiseRounds = 0;
+    double m_normalizedDrift = 0;
+    std::uint32_t m_learntRounds = 0;
     bool m_isKnown = false;
 };
 
--- a/coltsfootbend/group/demand_estimator_test.cpp
+++ b/coltsfootbend/group/demand_estimator_test.cpp
@@ -15,19 +15,19 @@
 
 // Generates the counts of prompts with random topics, where each topic has its own distribution of experts. Rounds of
 // few prompts therefore differ considerably from each other.
-class topic_world {
+class topic_model {
 public:
-    explicit topic_world(unsigned seed)
+    explicit topic_model(unsigned seed)
         : m_random(seed)
     {
         for (int topic = 0; topic < topics; ++topic)
-            redraw(topic);
+            redrawTopic(topic);
     }
 
     void shift(int count)
     {
         for (int topic = 0; topic < count; ++topic)
-            redraw(topic);
+            redrawTopic(topic);
     }
 
     std::vector<std::uint32_t> round(int prompts)
@@ -36,10 +36,10 @@
         std::uniform_int_distribution<int> anyTopic(0, topics - 1);
         std::lognormal_distribution<double> length(6.5, 0.7);
         for (int prompt = 0; prompt < prompts; ++prompt) {
-            const auto& likes = m_likes[static_cast<std::size_t>(anyTopic(m_random))];
+            const auto& preferences = m_preferences[static_cast<std::size_t>(anyTopic(m_random))];
             const double tokens = length(m_random);
             for (std::size_t i = 0; i < counts.size(); ++i)
-                counts[i] += static_cast<std::uint32_t>(8 * tokens * likes[i]);
+                counts[i] += static_cast<std::uint32_t>(8 * tokens * preferences[i]);
         }
         return counts;
     }
@@ -50,52 +50,52 @@
         double sum = 0;
         for (std::size_t i = 0; i < sets * experts; ++i) {
             double truth = 0;
-            for (const auto& likes : m_likes)
-                truth += likes[i] / topics;
+            for (const auto& preferences : m_preferences)
+                truth += preferences[i] / topics;
             sum += std::abs(truth - estimate[i / experts][i % experts]) / 2;
         }
         return sum / static_cast<double>(sets);
     }
 
 private:
-    void redraw(int topic)
+    void redrawTopic(int topic)
     {
-        auto& likes = m_likes[static_cast<std::size_t>(topic)];
-        likes.assign(sets * experts, 0);
-        std::lognormal_distribution<double> liking(0, 1.2);
+        auto& preferences = m_preferences[static_cast<std::size_t>(topic)];
+        preferences.assign(sets * experts, 0);
+        std::lognormal_distribution<double> preference(0, 1.2);
         for (std::size_t set = 0; set < sets; ++set) {
             double sum = 0;
             for (std::size_t expert = 0; expert < experts; ++expert)
-                sum += likes[set * experts + expert] = liking(m_random);
+                sum += preferences[set * experts + expert] = preference(m_random);
             for (std::size_t expert = 0; expert < experts; ++expert)
-                likes[set * experts + expert] /= sum;
+                preferences[set * experts + expert] /= sum;
         }
     }
 
     std::mt19937 m_random;
-    std::vector<std::vector<double>> m_likes { static_cast<std::size_t>(topics) };
+    std::vector<std::vector<double>> m_preferences { static_cast<std::size_t>(topics) };
 };
 
-double errorAfter(topic_world& world, demand_estimator& estimator, int rounds, int prompts)
+double errorAfter(topic_model& model, demand_estimator& estimator, int rounds, int prompts)
 {
     for (int i = 0; i < rounds; ++i) {
-        estimator.add(world.round(prompts));
+        estimator.add(model.round(prompts));
         estimator.endRound();
     }
-    return world.error(estimator.demand());
+    return model.error(estimator.demand());
 }
 
 TEST(DemandEstimator, AveragesRoundsWhileDemandStays)
 {
-    double alone = 0;
+    double singleRound = 0;
     double averaged = 0;
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        topic_world world(seed);
+        topic_model model(seed);
         demand_estimator estimator(sets, experts);
-        alone += errorAfter(world, estimator, 1, 20);
-        averaged += errorAfter(world, estimator, 20, 20);
+        singleRound += errorAfter(model, estimator, 1, 20);
+        averaged += errorAfter(model, estimator, 20, 20);
     }
-    EXPECT_LT(averaged, 0.55 * alone);
+    EXPECT_LT(averaged, 0.55 * singleRound);
 }
 
 // A third of the topics changes. The reference is an estimator that starts at the shift, which is as good as two rounds
@@ -103,18 +103,18 @@
 TEST(DemandEstimator, FollowsAShiftNearlyAsWellAsIfItHadStartedThen)
 {
     double followed = 0;
-    double anew = 0;
+    double restarted = 0;
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        topic_world world(seed);
+        topic_model model(seed);
         demand_estimator estimator(sets, experts);
-        (void)errorAfter(world, estimator, 20, 60);
-        world.shift(topics / 3);
-        topic_world same = world;
+        (void)errorAfter(model, estimator, 20, 60);
+        model.shift(topics / 3);
+        topic_model same = model;
         demand_estimator fresh(sets, experts);
-        followed += errorAfter(world, estimator, 2, 60);
-        anew += errorAfter(same, fresh, 2, 60);
+        followed += errorAfter(model, estimator, 2, 60);
+        restarted += errorAfter(same, fresh, 2, 60);
     }
-    EXPECT_LT(followed, 1.1 * anew);
+    EXPECT_LT(followed, 1.1 * restarted);
 }
 
 TEST(DemandEstimator, TooFewChoicesAreKeptForTheNextRound)
--- a/coltsfootbend/group/group_state.cpp
+++ b/coltsfootbend/group/group_state.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-using known_states = std::vector<const wire::rank_state*>;
+using reported_states = std::vector<const wire::rank_state*>;
 
 group_resolution waitFor(const char* reason)
 {
@@ -22,7 +22,7 @@
 }
 
 // Adds the holds of the earliest held pass, which stops the group first.
-void addHolds(const known_states& states, group_resolution& resolution)
+void addHolds(const reported_states& states, group_resolution& resolution)
 {
     for (const auto* state : states) {
         if (state->heldStep != 0 && (resolution.heldStep == 0 || state->heldStep < resolution.heldStep))
@@ -35,7 +35,7 @@
 }
 
 // Returns the switch that a rank is armed for, or may be; none if there is none.
-std::optional<armed_switch> findArmed(const known_states& states)
+std::optional<armed_switch> findArmed(const reported_states& states)
 {
     for (const auto* state : states) {
         if (state->armedVersion != 0 && state->mapVersion != state->armedVersion)
@@ -46,17 +46,17 @@
 
 // Returns whether a rank can never be armed for `target`, because it neither uses that version nor has it prepared.
 // This is certain only while no rank has an arm order whose result is unknown; until then the group stays stalled.
-bool mustDisarm(const known_states& states, const armed_switch& target)
+bool needsDisarm(const reported_states& states, const armed_switch& target)
 {
-    const bool isSure
+    const bool isCertain
         = std::none_of(states.begin(), states.end(), [](const auto* state) { return state->isArmUncertain; });
-    return isSure && std::any_of(states.begin(), states.end(), [&](const auto* state) {
+    return isCertain && std::any_of(states.begin(), states.end(), [&](const auto* state) {
         return !isArmedFor(*state, target) && state->preparedVersion != target.version;
     });
 }
 
 // Returns whether every rank has prepared `version` and none uses it.
-bool allPrepared(const known_states& states, engine_map_version version)
+bool allPrepared(const reported_states& states, engine_map_version version)
 {
     return version != 0 && std::all_of(states.begin(), states.end(), [version](const auto* state) {
         return state->preparedVersion == version && state->mapVersion != version;
@@ -67,12 +67,12 @@
 // not answer, but it is armed last, after all others are confirmed to be armed. If another rank has prepared the
 // change, is neither armed nor about to be, and obeys a newer leader, the change can no longer complete and the missing
 // rank is never armed. It is then safe to disarm the others and release the pass.
-group_resolution resolveWithoutLeader(const known_states& known, rank_number missing)
+group_resolution resolveWithoutLeader(const reported_states& reported, rank_number missing)
 {
-    const auto& first = *known.front();
+    const auto& first = *reported.front();
     group_resolution resolution;
-    addHolds(known, resolution);
-    const bool isOneChange = std::all_of(known.begin(), known.end(), [&](const auto* state) {
+    addHolds(reported, resolution);
+    const bool isOneChange = std::all_of(reported.begin(), reported.end(), [&](const auto* state) {
         return state->preparedVersion == first.preparedVersion && state->preparedTerm == first.preparedTerm
             && state->mapVersion == first.mapVersion && !state->isArmUncertain && state->term > first.preparedTerm;
     });
@@ -80,8 +80,8 @@
         || first.preparedVersion == first.mapVersion || leaderOf(first.preparedTerm) != missing)
         return waitFor("a rank did not answer");
     const auto armed
-        = std::count_if(known.begin(), known.end(), [](const auto* state) { return state->armedVersion != 0; });
-    if (static_cast<std::size_t>(armed) == known.size())
+        = std::count_if(reported.begin(), reported.end(), [](const auto* state) { return state->armedVersion != 0; });
+    if (static_cast<std::size_t>(armed) == reported.size())
         return waitFor("the previous leader may have armed its own rank");
     resolution.target = { first.preparedVersion, resolution.heldStep };
     resolution.kind = armed > 0 ? group_todo::DisarmWithoutLeader : group_todo::ReleaseWithoutLeader;
@@ -92,7 +92,7 @@
 
 group_resolution resolve(const std::vector<std::optional<wire::rank_state>>& states)
 {
-    known_states known;
+    reported_states reported;
     std::vector<rank_number> missing;
     for (rank_number rank = 0; rank < states.size(); ++rank) {
         const auto& state = states[rank];
@@ -100,24 +100,24 @@
             missing.push_back(rank);
             continue;
         }
-        if (!state->isOpen || (!known.empty() && state->epoch != known.front()->epoch))
+        if (!state->isOpen || (!reported.empty() && state->epoch != reported.front()->epoch))
             return waitFor("the group is incomplete");
-        known.push_back(&*state);
+        reported.push_back(&*state);
     }
-    if (known.empty())
+    if (reported.empty())
         return waitFor("no rank answered");
     if (missing.size() > 1)
         return waitFor("several ranks did not answer");
     if (!missing.empty())
-        return resolveWithoutLeader(known, missing.front());
+        return resolveWithoutLeader(reported, missing.front());
     group_resolution resolution;
-    addHolds(known, resolution);
-    if (const auto armed = findArmed(known)) {
+    addHolds(reported, resolution);
+    if (const auto armed = findArmed(reported)) {
         resolution.target = *armed;
-        const bool allArmed
-            = std::all_of(known.begin(), known.end(), [&](const auto* state) { return isArmedFor(*state, *armed); });
+        const bool allArmed = std::all_of(
+            reported.begin(), reported.end(), [&](const auto* state) { return isArmedFor(*state, *armed); });
         if (!allArmed)
-            resolution.kind = mustDisarm(known, *armed) ? group_todo::Disarm : group_todo::Arm;
+            resolution.kind = needsDisarm(reported, *armed) ? group_todo::Disarm : group_todo::Arm;
         else if (resolution.heldStep != 0)
             resolution.kind = group_todo::Release;
         else
@@ -127,13 +127,13 @@
     if (resolution.heldStep != 0) {
         // The process that held the pass may have ordered a switch that no report shows yet. It orders a switch only
         // after the same version is prepared on every rank.
-        const auto version = known.front()->preparedVersion;
-        resolution.kind = allPrepared(known, version) ? group_todo::Arm : group_todo::Release;
+        const auto version = reported.front()->preparedVersion;
+        resolution.kind = allPrepared(reported, version) ? group_todo::Arm : group_todo::Release;
         resolution.target = { version, resolution.heldStep };
         return resolution;
     }
-    for (const auto* state : known) {
-        if (state->mapVersion != known.front()->mapVersion)
+    for (const auto* state : reported) {
+        if (state->mapVersion != reported.front()->mapVersion)
             return waitFor("the ranks answered during a switch");
     }
     resolution.kind = group_todo::Ready;
--- a/coltsfootbend/group/group_state.h
+++ b/coltsfootbend/group/group_state.h
@@ -5,8 +5,8 @@
 // armed for it before the pass may begin, because an order without an answer can still be carried out later.
 // Deterministic.
 //
-//     const auto todo = resolve(states);
-//     if (todo.kind == group_todo::Ready) planNextMap();
+//     const auto resolution = resolve(states);
+//     if (resolution.kind == group_todo::Ready) planNextMap();
 
 #include "coltsfootbend/group/rank_engine.h"
 #include "coltsfootbend/wire/messages.h"
--- a/coltsfootbend/group/group_state_test.cpp
+++ b/coltsfootbend/group/group_state_test.cpp
@@ -32,7 +32,7 @@
         state->preparedVersion = version;
 }
 
-void armOne(states& all, std::size_t rank, armed_switch target)
+void armRank(states& all, std::size_t rank, armed_switch target)
 {
     all[rank]->armedVersion = target.version;
     all[rank]->armedStep = target.step;
@@ -61,19 +61,19 @@
 {
     auto all = threeRanks();
     prepareAll(all, 7);
-    armOne(all, 1, { 7, 110 });
+    armRank(all, 1, { 7, 110 });
     all[0]->heldStep = 110;
-    const auto todo = resolve(all);
-    EXPECT_EQ(todo.kind, group_todo::Arm);
-    EXPECT_EQ(todo.target.version, 7U);
-    EXPECT_EQ(todo.target.step, 110U);
+    const auto resolution = resolve(all);
+    EXPECT_EQ(resolution.kind, group_todo::Arm);
+    EXPECT_EQ(resolution.target.version, 7U);
+    EXPECT_EQ(resolution.target.step, 110U);
 }
 
 TEST(GroupState, AnUncertainOrderCountsAsArmed)
 {
     auto all = threeRanks();
     prepareAll(all, 7);
-    armOne(all, 1, { 7, 110 });
+    armRank(all, 1, { 7, 110 });
     all[1]->isArmUncertain = true;
     EXPECT_EQ(resolve(all).kind, group_todo::Arm);
 }
@@ -83,7 +83,7 @@
     auto all = threeRanks();
     prepareAll(all, 7);
     for (std::size_t rank = 0; rank < 3; ++rank)
-        armOne(all, rank, { 7, 110 });
+        armRank(all, rank, { 7, 110 });
     all[0]->heldStep = 110;
     EXPECT_EQ(resolve(all).kind, group_todo::Release);
     all[0]->heldStep = 0;
@@ -96,7 +96,7 @@
     auto all = threeRanks();
     prepareAll(all, 7);
     for (std::size_t rank = 0; rank < 3; ++rank)
-        armOne(all, rank, { 7, 110 });
+        armRank(all, rank, { 7, 110 });
     all[0]->heldStep = 110;
     all[0]->isArmUncertain = true;
     EXPECT_EQ(resolve(all).kind, group_todo::Arm);
@@ -107,10 +107,10 @@
     auto all = threeRanks();
     prepareAll(all, 7);
     all[2]->heldStep = 110;
-    const auto todo = resolve(all);
-    EXPECT_EQ(todo.kind, group_todo::Arm);
-    EXPECT_EQ(todo.target.version, 7U);
-    EXPECT_EQ(todo.target.step, 110U);
+    const auto resolution = resolve(all);
+    EXPECT_EQ(resolution.kind, group_todo::Arm);
+    EXPECT_EQ(resolution.target.version, 7U);
+    EXPECT_EQ(resolution.target.step, 110U);
 }
 
 TEST(GroupState, AHoldThatBelongsToNoChangeIsReleased)
@@ -126,7 +126,7 @@
 {
     auto all = threeRanks();
     prepareAll(all, 7);
-    armOne(all, 1, { 7, 110 });
+    armRank(all, 1, { 7, 110 });
     all[0]->heldStep = 110;
     all[2]->preparedVersion = 9;
     EXPECT_EQ(resolve(all).kind, group_todo::Disarm);
@@ -153,27 +153,27 @@
 
 TEST_F(frozen_leader_test, ItsHoldIsReleasedWhileNobodyIsArmed)
 {
-    const auto todo = resolve(m_states);
-    EXPECT_EQ(todo.kind, group_todo::ReleaseWithoutLeader);
-    EXPECT_EQ(todo.heldStep, 110U);
+    const auto resolution = resolve(m_states);
+    EXPECT_EQ(resolution.kind, group_todo::ReleaseWithoutLeader);
+    EXPECT_EQ(resolution.heldStep, 110U);
 }
 
 TEST_F(frozen_leader_test, WhatSomeWereOrderedIsTakenBackFirst)
 {
-    armOne(m_states, 1, { 6, 110 });
+    armRank(m_states, 1, { 6, 110 });
     EXPECT_EQ(resolve(m_states).kind, group_todo::DisarmWithoutLeader);
 }
 
 TEST_F(frozen_leader_test, WithAllOthersArmedItMayBeArmedItself)
 {
-    armOne(m_states, 1, { 6, 110 });
-    armOne(m_states, 2, { 6, 110 });
+    armRank(m_states, 1, { 6, 110 });
+    armRank(m_states, 2, { 6, 110 });
     EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
 }
 
 TEST_F(frozen_leader_test, AnOrderThatMayStillBeCarriedOutForbidsIt)
 {
-    armOne(m_states, 1, { 6, 110 });
+    armRank(m_states, 1, { 6, 110 });
     m_states[1]->isArmUncertain = true;
     EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
 }
--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -19,17 +19,17 @@
 
 constexpr std::uint32_t sets = 16;
 constexpr std::uint32_t expertsPerRank = 2;
-constexpr double bytesPerMs = 6e6 / 8 / 1000;
-constexpr duration withinDataCentre = 100us;
-constexpr duration betweenDataCentres = 900us;
+constexpr double bytesPerMillisecond = 6e6 / 8 / 1000;
+constexpr duration latencyWithinDataCentre = 100us;
+constexpr duration latencyBetweenDataCentres = 900us;
 constexpr duration passTime = 40ms;
 // Bytes that framing and acknowledgements add to each message.
 constexpr std::size_t messageOverhead = 120;
 
 // One agent's link, which transfers one message at a time in each direction.
 struct model_link {
-    time_point sendsAgainAt {};
-    time_point receivesAgainAt {};
+    time_point sendIdleAt {};
+    time_point receiveIdleAt {};
     std::size_t sent = 0;
     std::size_t received = 0;
 };
@@ -58,16 +58,16 @@
     // Blocks for as long as `bytes` take from one agent to another.
     void transfer(std::size_t from, std::size_t to, std::size_t bytes)
     {
-        const auto takes = fromMilliseconds(static_cast<double>(bytes) / bytesPerMs);
-        const auto delay = dataCentreOf(from) == dataCentreOf(to) ? withinDataCentre : betweenDataCentres;
+        const auto transferTime = fromMilliseconds(static_cast<double>(bytes) / bytesPerMillisecond);
+        const auto delay = dataCentreOf(from) == dataCentreOf(to) ? latencyWithinDataCentre : latencyBetweenDataCentres;
         auto& source = links[from];
         auto& sink = links[to];
         source.sent += bytes;
         sink.received += bytes;
-        source.sendsAgainAt = std::max<time_point>(clock_type::now(), source.sendsAgainAt) + takes;
-        const auto begins = std::max<time_point>(source.sendsAgainAt - takes + delay, sink.receivesAgainAt);
-        sink.receivesAgainAt = begins + takes;
-        runtime.sleepUntil(sink.receivesAgainAt);
+        source.sendIdleAt = std::max<time_point>(clock_type::now(), source.sendIdleAt) + transferTime;
+        const auto begins = std::max<time_point>(source.sendIdleAt - transferTime + delay, sink.receiveIdleAt);
+        sink.receiveIdleAt = begins + transferTime;
+        runtime.sleepUntil(sink.receiveIdleAt);
     }
 
     void transfer(std::size_t from, std::size_t to, const wire::body& content)
@@ -194,8 +194,8 @@
 }
 
 struct change_figures {
-    duration untilGood {}; // Time from the shift of demand until a fitting map is in use.
-    bool isGood = false;
+    duration timeToFit {}; // Time from the shift of demand until a fitting map is in use.
+    bool isFitting = false;
     int mixedPasses = 0;
     double leaderBytesPerSecond = 0; // Sent and received, averaged over the whole run.
     double busiestBytesPerSecond = 0; // Highest rate of any other agent.
@@ -207,11 +207,11 @@
 }
 
 // Waits until a group is stable, shifts its demand and waits for a fitting map.
-change_figures shiftDemand(rank_number ranks, std::uint32_t dataCentres)
+change_figures measureShift(rank_number ranks, std::uint32_t dataCentres)
 {
-    constexpr double goodSkew = 1.6;
-    constexpr duration settling = 4s;
-    constexpr duration longestWait = 4s;
+    constexpr double fittingSkew = 1.6;
+    constexpr duration warmUp = 4s;
+    constexpr duration maxWait = 4s;
     change_figures figures;
     std::thread([&] {
         fiber_runtime runtime;
@@ -239,14 +239,14 @@
                 }
                 --open;
             });
-            runtime.sleepFor(settling);
+            runtime.sleepFor(warmUp);
             group.engines.shiftDemand();
             const auto shiftedAt = clock_type::now();
-            while (!figures.isGood && clock_type::now() < shiftedAt + longestWait) {
+            while (!figures.isFitting && clock_type::now() < shiftedAt + maxWait) {
                 runtime.sleepFor(10ms);
-                figures.isGood = group.skew() <= goodSkew;
+                figures.isFitting = group.skew() <= fittingSkew;
             }
-            figures.untilGood = clock_type::now() - shiftedAt;
+            figures.timeToFit = clock_type::now() - shiftedAt;
             figures.mixedPasses = group.engines.mixedPasses();
             const auto length = clock_type::now() - begunAt;
             figures.leaderBytesPerSecond = bytesPerSecond(group.links[0], length);
@@ -262,7 +262,7 @@
         runtime.run();
     }).join();
     std::printf("%u ranks: good after %.0f ms, leader %.1f KB/s, busiest other %.1f KB/s\n", ranks,
-        toMilliseconds(figures.untilGood), figures.leaderBytesPerSecond / 1000, figures.busiestBytesPerSecond / 1000);
+        toMilliseconds(figures.timeToFit), figures.leaderBytesPerSecond / 1000, figures.busiestBytesPerSecond / 1000);
     return figures;
 }
 
@@ -271,8 +271,8 @@
 TEST(LargeGroup, AMapThatFitsFollowsAShiftOfDemand)
 {
     for (const auto& [ranks, dataCentres] : { std::pair { 63U, 3U }, { 129U, 5U }, { 256U, 9U } }) {
-        const auto figures = shiftDemand(ranks, dataCentres);
-        EXPECT_TRUE(figures.isGood) << ranks << " ranks";
+        const auto figures = measureShift(ranks, dataCentres);
+        EXPECT_TRUE(figures.isFitting) << ranks << " ranks";
         EXPECT_EQ(figures.mixedPasses, 0) << ranks << " ranks";
     }
 }
@@ -280,11 +280,11 @@
 // Holds although the size of each message grows with the number of ranks, as changed rows and expert counts do.
 TEST(LargeGroup, WhatOneAgentSendsAndReceivesGrowsMoreSlowlyThanTheGroup)
 {
-    const auto small = shiftDemand(64, 4);
-    const auto large = shiftDemand(256, 4);
-    constexpr double growth = 4; // Ratio of the numbers of ranks.
-    EXPECT_LT(large.leaderBytesPerSecond, growth * small.leaderBytesPerSecond);
-    EXPECT_LT(large.busiestBytesPerSecond, growth * small.busiestBytesPerSecond);
+    const auto small = measureShift(64, 4);
+    const auto large = measureShift(256, 4);
+    constexpr double rankRatio = 4; // Ratio of the numbers of ranks.
+    EXPECT_LT(large.leaderBytesPerSecond, rankRatio * small.leaderBytesPerSecond);
+    EXPECT_LT(large.busiestBytesPerSecond, rankRatio * small.busiestBytesPerSecond);
 }
 
 } // namespace
--- a/coltsfootbend/group/map_coordinator.cpp
+++ b/coltsfootbend/group/map_coordinator.cpp
@@ -7,7 +7,7 @@
 map_coordinator::map_coordinator(const options& options)
     : m_options(options)
     , m_ranks(options.ranks)
-    , m_highestSeen(options.epoch)
+    , m_highestEpochSeen(options.epoch)
 {
 }
 
@@ -15,10 +15,10 @@
 {
     const bool undecided = m_state == state::Preparing || m_state == state::Proposing;
     if (undecided && now >= m_options.giveUpAt)
-        return giveUp();
-    if (now < m_askAgainAt)
+        return abandon();
+    if (now < m_retryAt)
         return {};
-    return ask(now);
+    return pendingRequests(now);
 }
 
 std::vector<coordinator_order> map_coordinator::handle(time_point now, rank_number rank, const rank_message& message)
@@ -27,7 +27,7 @@
         return {};
     const auto before = m_state;
     std::visit([&](const auto& body) { on(rank, body); }, message);
-    return m_state == before ? std::vector<coordinator_order> {} : ask(now);
+    return m_state == before ? std::vector<coordinator_order> {} : pendingRequests(now);
 }
 
 void map_coordinator::on(rank_number rank, const map_loaded& message)
@@ -72,9 +72,9 @@
     segments.erase(std::unique(segments.begin(), segments.end()), segments.end());
     // No rank has granted a step beyond the highest limit, and none will before it takes this decision. Segments that
     // an earlier decision planned beyond that limit have not begun and are dropped.
-    m_switchAt = highestLimit + 1;
-    std::erase_if(segments, [this](const map_segment& segment) { return segment.from >= m_switchAt; });
-    segments.push_back({ m_switchAt, m_options.map });
+    m_switchStep = highestLimit + 1;
+    std::erase_if(segments, [this](const map_segment& segment) { return segment.from >= m_switchStep; });
+    segments.push_back({ m_switchStep, m_options.map });
     decision.schedule = { m_options.epoch, std::move(segments) };
     m_decision = decision;
 }
@@ -92,11 +92,11 @@
 {
     if (message.epoch != m_options.epoch)
         return;
-    m_highestSeen = std::max(m_highestSeen, message.promised);
+    m_highestEpochSeen = std::max(m_highestEpochSeen, message.promised);
     if (m_state == state::Done || m_state == state::GivenUp)
         return;
-    const bool isNewLife = m_state == state::Deciding && message.promised < m_options.epoch;
-    if (message.promised > m_options.epoch || isNewLife) {
+    const bool isNewIncarnation = m_state == state::Deciding && message.promised < m_options.epoch;
+    if (message.promised > m_options.epoch || isNewIncarnation) {
         m_state = state::Overtaken;
     } else if (m_state == state::Proposing) {
         // The rank has not loaded the map, for instance after a restart: repeat the preparation.
@@ -105,9 +105,9 @@
     }
 }
 
-std::vector<coordinator_order> map_coordinator::ask(time_point now)
+std::vector<coordinator_order> map_coordinator::pendingRequests(time_point now)
 {
-    m_askAgainAt = now + m_options.askAgainAfter;
+    m_retryAt = now + m_options.askAgainAfter;
     std::vector<coordinator_order> orders;
     for (rank_number rank = 0; rank < m_ranks.size(); ++rank) {
         const auto& state = m_ranks[rank];
@@ -122,7 +122,7 @@
 }
 
 // Safe because nothing has been decided and this object sends no decision in its final state.
-std::vector<coordinator_order> map_coordinator::giveUp()
+std::vector<coordinator_order> map_coordinator::abandon()
 {
     const bool promised = m_state == state::Proposing;
     m_state = state::GivenUp;
--- a/coltsfootbend/group/map_coordinator.h
+++ b/coltsfootbend/group/map_coordinator.h
@@ -55,9 +55,9 @@
 
     state current() const { return m_state; }
     // Returns the first step under the new map; 0 before the decision.
-    step_number switchAt() const { return m_switchAt; }
+    step_number switchAt() const { return m_switchStep; }
     // Returns the highest epoch seen. The next epoch must be higher.
-    map_epoch highestSeen() const { return m_highestSeen; }
+    map_epoch highestSeen() const { return m_highestEpochSeen; }
 
 private:
     struct rank_state {
@@ -73,16 +73,16 @@
     // Builds the decision from the promises of all ranks.
     void decide();
     // Returns the current phase's request for every rank that has not answered it.
-    std::vector<coordinator_order> ask(time_point now);
-    std::vector<coordinator_order> giveUp();
+    std::vector<coordinator_order> pendingRequests(time_point now);
+    std::vector<coordinator_order> abandon();
 
     const options m_options;
     state m_state = state::Preparing;
     std::vector<rank_state> m_ranks;
     std::optional<decide_switch> m_decision;
-    step_number m_switchAt = 0;
-    map_epoch m_highestSeen;
-    time_point m_askAgainAt {};
+    step_number m_switchStep = 0;
+    map_epoch m_highestEpochSeen;
+    time_point m_retryAt {};
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/map_coordinator_test.cpp
+++ b/coltsfootbend/group/map_coordinator_test.cpp
@@ -53,8 +53,8 @@
     (void)change.handle(start, 0, promise(1, 29, behind));
     const auto orders = change.handle(start, 1, promise(2, 60, ahead));
     const auto& decision = std::get<decide_switch>(orders[0].message);
-    const std::vector<map_segment> wanted { { 1, map_version(1) }, { 30, map_version(2) }, { 61, newMap } };
-    EXPECT_EQ(decision.schedule.segments, wanted);
+    const std::vector<map_segment> expected { { 1, map_version(1) }, { 30, map_version(2) }, { 61, newMap } };
+    EXPECT_EQ(decision.schedule.segments, expected);
 }
 
 TEST(MapCoordinator, DropsWhatWasPlannedBeyondAllThatWasGranted)
@@ -64,8 +64,8 @@
     const map_schedule planned { { 2, 1 }, { { 1, map_version(1) }, { 90, map_version(2) } } };
     (void)change.handle(start, 0, promise(1, 40, planned));
     const auto orders = change.handle(start, 1, promise(2, 40, planned));
-    const std::vector<map_segment> wanted { { 1, map_version(1) }, { 41, newMap } };
-    EXPECT_EQ(std::get<decide_switch>(orders[0].message).schedule.segments, wanted);
+    const std::vector<map_segment> expected { { 1, map_version(1) }, { 41, newMap } };
+    EXPECT_EQ(std::get<decide_switch>(orders[0].message).schedule.segments, expected);
 }
 
 TEST(MapCoordinator, GivesUpCleanlyWhileNothingIsDecided)
--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -13,22 +13,22 @@
 namespace {
 
 // Interval between rounds while the group is incomplete. A group that forms anew uses its initial map.
-constexpr std::chrono::milliseconds waitCycle { 100 };
+constexpr std::chrono::milliseconds waitInterval { 100 };
 // Timeout of holding a pass, including repetitions.
-constexpr std::chrono::milliseconds holdLimit { 250 };
+constexpr std::chrono::milliseconds holdTimeout { 250 };
 // Timeout of a single hold order: an engine answers an order immediately or not at all.
-constexpr std::chrono::milliseconds holdAnswerLimit { 40 };
+constexpr std::chrono::milliseconds holdAnswerTimeout { 40 };
 // Timeouts of releasing a pass at all ranks, and at the holder alone.
-constexpr std::chrono::milliseconds releaseLimit { 600 };
-constexpr std::chrono::milliseconds holderReleaseLimit { 150 };
+constexpr std::chrono::milliseconds releaseTimeout { 600 };
+constexpr std::chrono::milliseconds holderReleaseTimeout { 150 };
 // Passes that are tried as the pass of a switch before the change is abandoned.
-constexpr int holdTries = 3;
+constexpr int maxHoldTries = 3;
 // Bounds of the number of passes between the current one and a switch.
-constexpr pass_number leastPassesAhead = 2;
-constexpr pass_number mostPassesAhead = 16;
+constexpr pass_number minPassesAhead = 2;
+constexpr pass_number maxPassesAhead = 16;
 // Range of the random increment of a map version, which makes versions differ between leaders that do not know of each
 // other.
-constexpr std::uint32_t versionSpread = 1U << 16U;
+constexpr std::uint32_t maxVersionIncrement = 1U << 16U;
 // Weight of the newest measurement in the smoothed pass duration.
 constexpr double passSmoothing = 0.3;
 
@@ -41,36 +41,37 @@
 // group.
 std::string describeMissing(const std::vector<std::optional<wire::rank_state>>& states)
 {
-    constexpr std::size_t mostNamed = 8;
-    std::string named;
+    constexpr std::size_t maxListed = 8;
+    std::string listed;
     std::size_t missing = 0;
     for (std::size_t rank = 0; rank < states.size(); ++rank) {
         if (states[rank])
             continue;
-        if (++missing <= mostNamed)
-            named += (named.empty() ? "" : ",") + std::to_string(rank);
+        if (++missing <= maxListed)
+            listed += (listed.empty() ? "" : ",") + std::to_string(rank);
     }
-    return "missing=" + std::to_string(missing) + " first=" + (named.empty() ? "-" : named);
+    return "missing=" + std::to_string(missing) + " first=" + (listed.empty() ? "-" : listed);
 }
 
 // An order to the leader's own rank, carried out while the orders to the other ranks are under way.
-class own_answer {
+class own_rank_order {
 public:
-    own_answer(fiber_runtime& runtime, map_participant& own, const wire::rank_order& order, duration limit)
+    own_rank_order(
+        fiber_runtime& runtime, map_participant& participant, const wire::rank_order& order, duration timeout)
         : m_work(std::make_shared<work>(runtime))
-        , m_limit(clock_type::now() + limit)
+        , m_deadline(clock_type::now() + timeout)
     {
-        runtime.spawn([work = m_work, &own, order, limit = m_limit] {
-            work->state = own.answer(order, limit);
+        runtime.spawn([work = m_work, &participant, order, deadline = m_deadline] {
+            work->state = participant.answer(order, deadline);
             work->isDone.notify();
         });
     }
 
     // Blocks until the rank has answered or the deadline has passed.
-    result<wire::rank_state> take()
+    result<wire::rank_state> wait()
     {
         if (!m_work->state)
-            (void)m_work->isDone.waitUntil(m_limit);
+            (void)m_work->isDone.waitUntil(m_deadline);
         if (!m_work->state)
             return fail(error_kind::TimedOut, "the local engine did not answer", "Check the engine's log");
         return *m_work->state;
@@ -87,7 +88,7 @@
     };
 
     const std::shared_ptr<work> m_work; // Shared with the fiber, which may outlive this object.
-    const time_point m_limit;
+    const time_point m_deadline;
 };
 
 // Returns the rows of `after` that differ from `before`.
@@ -104,7 +105,7 @@
 }
 
 // Replaces earlier answers by later ones of the same rank.
-void takeOver(std::vector<result<wire::rank_state>>& answers, const std::vector<result<wire::rank_state>>& later)
+void replaceEarlier(std::vector<result<wire::rank_state>>& answers, const std::vector<result<wire::rank_state>>& later)
 {
     for (const auto& answer : later) {
         if (!answer)
@@ -119,45 +120,48 @@
 
 } // namespace
 
-map_leader::map_leader(fiber_runtime& runtime, map_participant& own, order_carrier& carrier, const options& options,
-    std::minstd_rand::result_type seed)
+map_leader::map_leader(fiber_runtime& runtime, map_participant& participant, order_carrier& carrier,
+    const options& options, std::minstd_rand::result_type seed)
     : m_runtime(runtime)
-    , m_own(own)
+    , m_participant(participant)
     , m_carrier(carrier)
     , m_options(options)
     , m_planner(options.planner)
     , m_random(seed)
     , m_demand(options.sets, options.experts)
-    , m_run(std::uniform_int_distribution<std::uint64_t>(1)(m_random))
+    , m_leaderRun(std::uniform_int_distribution<std::uint64_t>(1)(m_random))
 {
 }
 
-void map_leader::noteTerm(const wire::rank_state& state)
+void map_leader::yieldToHigherTerm(const wire::rank_state& state)
 {
     if (state.term > m_term)
-        m_own.yield(state.term);
+        m_participant.yield(state.term);
 }
 
-wire::order_scope map_leader::scopeOf(rank_number rank) const
+wire::order_scope map_leader::queryScope(rank_number rank) const
 {
-    return { .term = m_term, .group = m_group, .epoch = m_epoch, .life = rank < m_lives.size() ? m_lives[rank] : 0 };
+    return { .term = m_term,
+        .group = m_group,
+        .epoch = m_epoch,
+        .life = rank < m_incarnations.size() ? m_incarnations[rank] : 0 };
 }
 
-wire::order_scope map_leader::nextScope()
+wire::order_scope map_leader::nextOrderScope()
 {
-    auto scope = scopeOf(m_rank);
-    scope.leaderRun = m_run;
+    auto scope = queryScope(m_ownRank);
+    scope.leaderRun = m_leaderRun;
     scope.serial = ++m_serial;
     return scope;
 }
 
-carried_order map_leader::askAll(const wire::rank_order& order, const std::vector<addressee>& to, duration limit)
+carried_order map_leader::sendToAll(const wire::rank_order& order, const std::vector<addressee>& to, duration timeout)
 {
     auto carried = m_carrier.carry(
-        order, to, clock_type::now() + limit, { .every = m_options.beatEvery, .beat = [this] { beat(); } });
+        order, to, clock_type::now() + timeout, { .every = m_options.beatEvery, .beat = [this] { sendHeartbeat(); } });
     for (const auto& state : carried.states) {
         if (state && state->group == m_group)
-            noteTerm(*state);
+            yieldToHigherTerm(*state);
     }
     return carried;
 }
@@ -167,7 +171,8 @@
     std::vector<addressee> to;
     to.reserve(members.size());
     for (const auto& member : members)
-        to.push_back({ .channel = member.channel, .life = member.rank < m_lives.size() ? m_lives[member.rank] : 0 });
+        to.push_back({ .channel = member.channel,
+            .life = member.rank < m_incarnations.size() ? m_incarnations[member.rank] : 0 });
     return to;
 }
 
@@ -175,77 +180,78 @@
 // carry the order out as well.
 template <typename Order>
 std::vector<result<wire::rank_state>> map_leader::orderAll(
-    Order order, const std::vector<member>& members, duration limit)
+    Order order, const std::vector<member>& members, duration timeout)
 {
-    order.scope = nextScope();
-    own_answer own(m_runtime, m_own, order, limit);
+    order.scope = nextOrderScope();
+    own_rank_order ownOrder(m_runtime, m_participant, order, timeout);
     order.scope.life = 0;
-    auto states = askAll(order, addresseesOf(members), limit).states;
-    states.insert(states.begin(), own.take());
+    auto states = sendToAll(order, addresseesOf(members), timeout).states;
+    states.insert(states.begin(), ownOrder.wait());
     return states;
 }
 
-template <typename Order> std::vector<result<wire::rank_state>> map_leader::orderOthers(Order order, duration limit)
+template <typename Order> std::vector<result<wire::rank_state>> map_leader::orderMembers(Order order, duration timeout)
 {
-    order.scope = nextScope();
+    order.scope = nextOrderScope();
     order.scope.life = 0;
-    return askAll(order, addresseesOf(m_members), limit).states;
+    return sendToAll(order, addresseesOf(m_members), timeout).states;
 }
 
-void map_leader::beat()
+void map_leader::sendHeartbeat()
 {
-    const auto limit = clock_type::now() + m_options.queryLimit;
+    const auto deadline = clock_type::now() + m_options.queryLimit;
     const wire::rank_query query { .scope = { .term = m_term, .group = m_group, .epoch = m_epoch } };
     // The answers are not needed: a newer leader's term also arrives with the answers to the step itself.
-    m_runtime.spawn([&carrier = m_carrier, query, to = addresseesOf(m_members), limit] {
-        (void)carrier.carry(query, to, limit, {});
+    m_runtime.spawn([&carrier = m_carrier, query, to = addresseesOf(m_members), deadline] {
+        (void)carrier.carry(query, to, deadline, {});
     });
 }
 
 // Prefers ranks in the own data centre: counts are by far the largest part of the answers, and traffic between data
 // centres is expensive. Selects the same ranks in every round, so that the counts of each rank cover exactly one round.
-void map_leader::chooseDemandSources(std::vector<addressee>& to) const
+void map_leader::selectDemandSources(std::vector<addressee>& to) const
 {
-    std::vector<std::pair<bool, std::size_t>> farAndPlace;
-    for (std::size_t place = 0; place < to.size(); ++place)
-        farAndPlace.emplace_back(to[place].channel->relayTarget().dataCentre != 0, place);
-    std::sort(farAndPlace.begin(), farAndPlace.end());
-    farAndPlace.resize(std::min<std::size_t>(farAndPlace.size(), m_options.demandSources));
-    for (const auto& [isFar, place] : farAndPlace)
-        to[place].tellsDemand = true;
+    std::vector<std::pair<bool, std::size_t>> candidates;
+    for (std::size_t index = 0; index < to.size(); ++index)
+        candidates.emplace_back(to[index].channel->relayTarget().dataCentre != 0, index);
+    std::sort(candidates.begin(), candidates.end());
+    candidates.resize(std::min<std::size_t>(candidates.size(), m_options.demandSources));
+    for (const auto& [isRemote, index] : candidates)
+        to[index].tellsDemand = true;
 }
 
-map_leader::states_by_rank map_leader::gather(duration limit)
+map_leader::states_by_rank map_leader::collectStates(duration timeout)
 {
     m_isComplete = false;
-    wire::rank_query query { .scope = { .term = m_term, .group = m_own.group(), .epoch = m_epoch },
+    wire::rank_query query { .scope = { .term = m_term, .group = m_participant.group(), .epoch = m_epoch },
         .wantsDemand = true,
-        .wantsMap = m_wantsMap };
+        .wantsMap = m_requestsMap };
     // A leader whose engine does not answer, or whose rank has changed, does no round, so that another rank takes over.
-    const auto own = m_own.answer(query, clock_type::now() + limit);
-    if (!own || own->group != query.scope.group || leaderOf(m_term) != own->rank)
+    const auto ownState = m_participant.answer(query, clock_type::now() + timeout);
+    if (!ownState || ownState->group != query.scope.group || leaderOf(m_term) != ownState->rank)
         return {};
-    m_group = own->group;
-    m_rank = own->rank;
-    states_by_rank states(own->ranks);
-    states[own->rank] = *own;
+    m_group = ownState->group;
+    m_ownRank = ownState->rank;
+    states_by_rank states(ownState->ranks);
+    states[ownState->rank] = *ownState;
     std::vector<addressee> to; // A copy: `m_others` may be replaced while this fiber is blocked.
     for (const auto& channel : m_others)
         to.push_back({ .channel = channel });
-    chooseDemandSources(to);
-    auto carried = askAll(query, to, limit);
+    selectDemandSources(to);
+    auto carried = sendToAll(query, to, timeout);
     m_relayedDemand = std::move(carried.demand);
-    std::map<rank_number, member> reached;
+    std::map<rank_number, member> membersByDistance;
     for (std::size_t i = 0; i < carried.states.size(); ++i) {
         const auto& answer = carried.states[i];
-        if (!answer || answer->group != m_group || answer->rank >= states.size() || answer->rank == own->rank)
+        if (!answer || answer->group != m_group || answer->rank >= states.size() || answer->rank == ownState->rank)
             continue;
         states[answer->rank] = *answer;
-        if (answer->epoch == own->epoch)
-            reached[(answer->rank + own->ranks - own->rank) % own->ranks] = { answer->rank, to[i].channel };
+        if (answer->epoch == ownState->epoch)
+            membersByDistance[(answer->rank + ownState->ranks - ownState->rank) % ownState->ranks]
+                = { answer->rank, to[i].channel };
     }
     m_members.clear();
-    for (auto& [distance, member] : reached)
+    for (auto& [distance, member] : membersByDistance)
         m_members.push_back(std::move(member));
     m_isComplete = m_members.size() + 1 == states.size();
     return states;
@@ -253,68 +259,69 @@
 
 bool map_leader::isConfirmed(const group_resolution& seen)
 {
-    const auto states = gather(m_options.queryLimit);
+    const auto states = collectStates(m_options.queryLimit);
     return !isDeposed() && !states.empty() && resolve(states) == seen;
 }
 
 duration map_leader::lead(leader_term term)
 {
     m_term = term;
-    const auto states = gather(m_options.queryLimit);
+    const auto states = collectStates(m_options.queryLimit);
     if (isDeposed() || states.empty())
-        return waitCycle;
-    learn(states);
-    const auto todo = resolve(states);
-    noteWaiting(todo, states);
-    switch (todo.kind) {
+        return waitInterval;
+    updateEstimates(states);
+    const auto resolution = resolve(states);
+    logWaitReason(resolution, states);
+    switch (resolution.kind) {
     case group_todo::Wait:
-        return waitCycle;
+        return waitInterval;
     case group_todo::Arm:
-        logEvent(log_event::MapChangeStep, "finish=arm " + describe(todo.target));
-        if (armAll(todo.target))
-            releaseAll(todo.target.step);
+        logEvent(log_event::MapChangeStep, "finish=arm " + describe(resolution.target));
+        if (armAll(resolution.target))
+            releaseAll(resolution.target.step);
         return duration::zero();
     case group_todo::Disarm:
-        logEvent(log_event::MapChangeFailed, "finish=disarm " + describe(todo.target));
-        disarmAll(todo.target.version);
+        logEvent(log_event::MapChangeFailed, "finish=disarm " + describe(resolution.target));
+        disarmAll(resolution.target.version);
         return duration::zero();
     case group_todo::Release:
-        logEvent(log_event::MapChangeStep, "finish=release step=" + std::to_string(todo.heldStep));
-        releaseAll(todo.heldStep);
+        logEvent(log_event::MapChangeStep, "finish=release step=" + std::to_string(resolution.heldStep));
+        releaseAll(resolution.heldStep);
         return duration::zero();
     case group_todo::DisarmWithoutLeader:
-        if (isConfirmed(todo)) {
-            logEvent(log_event::MapChangeFailed, "finish=disarm_without_leader " + describe(todo.target));
-            disarmAll(todo.target.version);
+        if (isConfirmed(resolution)) {
+            logEvent(log_event::MapChangeFailed, "finish=disarm_without_leader " + describe(resolution.target));
+            disarmAll(resolution.target.version);
         }
         return duration::zero();
     case group_todo::ReleaseWithoutLeader:
-        if (isConfirmed(todo)) {
-            logEvent(log_event::MapChangeFailed, "finish=release_without_leader step=" + std::to_string(todo.heldStep));
-            releaseAll(todo.heldStep);
+        if (isConfirmed(resolution)) {
+            logEvent(log_event::MapChangeFailed,
+                "finish=release_without_leader step=" + std::to_string(resolution.heldStep));
+            releaseAll(resolution.heldStep);
         }
         return duration::zero();
     case group_todo::Ready:
         return planAndChange(states);
     }
-    return waitCycle;
+    return waitInterval;
 }
 
 // Logs the reason and the missing ranks only when the reason changes: a group may be stalled for as long as its leader
 // waits.
-void map_leader::noteWaiting(const group_resolution& todo, const states_by_rank& states)
+void map_leader::logWaitReason(const group_resolution& resolution, const states_by_rank& states)
 {
-    const std::string reason = todo.kind == group_todo::Wait ? todo.reason : "";
+    const std::string reason = resolution.kind == group_todo::Wait ? resolution.reason : "";
     if (reason == m_waitReason)
         return;
     m_waitReason = reason;
     if (reason.empty())
         return;
     logEvent(log_event::MapChangeStep,
-        "wait=\"" + reason + "\" held=" + std::to_string(todo.heldStep) + " " + describeMissing(states));
+        "wait=\"" + reason + "\" held=" + std::to_string(resolution.heldStep) + " " + describeMissing(states));
 }
 
-void map_leader::learn(const states_by_rank& states)
+void map_leader::updateEstimates(const states_by_rank& states)
 {
     for (const auto& state : states) {
         if (state)
@@ -322,44 +329,46 @@
     }
     m_demand.add(m_relayedDemand);
     m_demand.endRound();
-    noteFormation(states);
+    updateFormation(states);
     const auto& any = *std::find_if(states.begin(), states.end(), [](const auto& state) { return state.has_value(); });
-    notePasses(any->step);
+    updatePassDuration(any->step);
 }
 
-void map_leader::notePasses(pass_number step)
+void map_leader::updatePassDuration(pass_number step)
 {
     const auto now = clock_type::now();
-    const auto steps = step > m_lastStep ? step - m_lastStep : 0;
-    constexpr pass_number leastSteps = 4;
-    if (m_lastStep != 0 && steps >= leastSteps)
-        m_passMs += passSmoothing * (toMilliseconds(now - m_lastStepAt) / static_cast<double>(steps) - m_passMs);
-    if (steps >= leastSteps || m_lastStep == 0) {
-        m_lastStep = step;
-        m_lastStepAt = now;
+    const auto steps = step > m_lastMeasuredPass ? step - m_lastMeasuredPass : 0;
+    constexpr pass_number minSteps = 4;
+    if (m_lastMeasuredPass != 0 && steps >= minSteps)
+        m_passMilliseconds += passSmoothing
+            * (toMilliseconds(now - m_lastMeasuredAt) / static_cast<double>(steps) - m_passMilliseconds);
+    if (steps >= minSteps || m_lastMeasuredPass == 0) {
+        m_lastMeasuredPass = step;
+        m_lastMeasuredAt = now;
     }
 }
 
-void map_leader::noteFormation(const states_by_rank& states)
+void map_leader::updateFormation(const states_by_rank& states)
 {
-    m_lives.resize(states.size());
+    m_incarnations.resize(states.size());
     bool isRestarted = false;
-    const auto epoch = states[m_rank]->epoch;
+    const auto epoch = states[m_ownRank]->epoch;
     for (std::size_t rank = 0; rank < states.size(); ++rank) {
         const auto& state = states[rank];
         if (!state)
             continue;
-        isRestarted = isRestarted || (m_lives[rank] != 0 && state->life != 0 && m_lives[rank] != state->life);
-        m_lives[rank] = state->life;
+        isRestarted
+            = isRestarted || (m_incarnations[rank] != 0 && state->life != 0 && m_incarnations[rank] != state->life);
+        m_incarnations[rank] = state->life;
     }
-    if (epoch == m_epoch && m_group == m_formedGroup && !isRestarted)
+    if (epoch == m_epoch && m_group == m_knownGroup && !isRestarted)
         return;
-    m_formedGroup = m_group;
+    m_knownGroup = m_group;
     logEvent(log_event::GroupChanged, "group=" + m_group + " epoch=" + std::to_string(epoch));
     m_epoch = epoch;
     m_map.reset();
-    m_nextVersion = 0;
-    m_lastStep = 0;
+    m_pendingVersion = 0;
+    m_lastMeasuredPass = 0;
 }
 
 bool map_leader::isMapKnown(const wire::rank_state& own) const { return m_map && m_mapVersion == own.mapVersion; }
@@ -368,15 +377,15 @@
 {
     const auto version = states.front()->mapVersion;
     if (!isMapKnown(*states.front())) {
-        const bool isOurs = m_nextVersion != 0 && version == m_nextVersion;
-        const bool isTold = std::all_of(states.begin(), states.end(),
+        const bool isOwnChange = m_pendingVersion != 0 && version == m_pendingVersion;
+        const bool isReported = std::all_of(states.begin(), states.end(),
             [&](const auto& state) { return state->map.size() == m_options.sets && state->mapVersion == version; });
-        m_wantsMap = !isOurs && !isTold;
-        if (m_wantsMap)
+        m_requestsMap = !isOwnChange && !isReported;
+        if (m_requestsMap)
             return duration::zero();
         m_mapVersion = version;
-        if (isOurs) {
-            m_map = m_nextMap;
+        if (isOwnChange) {
+            m_map = m_pendingMap;
             logEvent(log_event::MapChanged, "group=" + m_group + " version=" + std::to_string(version));
         } else {
             m_map.emplace(m_options.sets, rank_experts(states.size()));
@@ -391,33 +400,33 @@
     std::vector<double> paces;
     for (const auto& state : states)
         paces.push_back(std::max(1.0, state->pace));
-    const double factor = idleFactor(states);
+    const double factor = idleGainFactor(states);
     const auto plan = m_planner.plan(*m_map, m_demand.demand(), paces, m_options.planner.gainPerMove * factor);
-    if (plan.gain() < m_options.leastGain * factor)
+    if (plan.gain() < m_options.minGain * factor)
         return m_options.cycle;
-    change(states, plan);
-    return std::min<duration>(m_options.cycle, waitCycle);
+    executeChange(states, plan);
+    return std::min<duration>(m_options.cycle, waitInterval);
 }
 
-double map_leader::idleFactor(const states_by_rank& states) const
+double map_leader::idleGainFactor(const states_by_rank& states) const
 {
     // Share of occupied slots above which every longer pass delays requests.
-    constexpr double busyShare = 0.75;
+    constexpr double fullLoadShare = 0.75;
     // Factor in a group without any request.
-    constexpr double mostFactor = 5;
+    constexpr double maxFactor = 5;
     double requests = 0;
     for (const auto& state : states)
         requests += state->requests;
     const double share = requests / (static_cast<double>(states.size()) * m_options.slots);
-    return 1 + (mostFactor - 1) * std::max(0.0, busyShare - share) / busyShare;
+    return 1 + (maxFactor - 1) * std::max(0.0, fullLoadShare - share) / fullLoadShare;
 }
 
-void map_leader::change(const states_by_rank& states, const map_plan& plan)
+void map_leader::executeChange(const states_by_rank& states, const map_plan& plan)
 {
     engine_map_version highest = 0;
     for (const auto& state : states)
         highest = std::max(highest, state->highestVersion);
-    const auto version = highest + 1 + std::uniform_int_distribution<std::uint32_t>(0, versionSpread)(m_random);
+    const auto version = highest + 1 + std::uniform_int_distribution<std::uint32_t>(0, maxVersionIncrement)(m_random);
     logEvent(log_event::MapPlanned,
         "group=" + m_group + " epoch=" + std::to_string(m_epoch) + " version=" + std::to_string(version)
             + " moves=" + std::to_string(plan.moves) + " skew_before=" + std::to_string(plan.skewBefore).substr(0, 5)
@@ -426,19 +435,20 @@
     const auto step = prepareAll(version, plan.next);
     if (!step)
         return;
-    const auto held = holdAhead(*step);
+    const auto held = holdFuturePass(*step);
     logEvent(log_event::MapChangeStep,
         "step=prepared version=" + std::to_string(version) + " begun=" + std::to_string(*step)
             + " held=" + std::to_string(held.value_or(0)));
     if (!held || isDeposed())
         return; // A hold that takes effect later is found and released by the next round.
-    m_nextVersion = version;
-    m_nextMap = plan.next;
+    m_pendingVersion = version;
+    m_pendingMap = plan.next;
     if (!armAll({ version, *held }))
         return;
-    releaseHeld(*held);
+    releaseHeldPass(*held);
     logEvent(log_event::MapChangeStep,
-        "step=armed version=" + std::to_string(version) + " passes_ms=" + std::to_string(std::lround(m_passMs)));
+        "step=armed version=" + std::to_string(version)
+            + " passes_ms=" + std::to_string(std::lround(m_passMilliseconds)));
 }
 
 std::optional<pass_number> map_leader::prepareAll(engine_map_version version, const group_map& map)
@@ -450,16 +460,16 @@
     prepare.baseVersion = m_mapVersion;
     prepare.changes = changedRows(*m_map, map);
     auto answers = orderAll(prepare, m_members, m_options.prepareLimit);
-    std::vector<member> lacking;
+    std::vector<member> ranksWithoutBase;
     for (std::size_t i = 1; i < answers.size(); ++i) {
         if (answers[i] && answers[i]->lacksBase)
-            lacking.push_back(m_members[i - 1]);
+            ranksWithoutBase.push_back(m_members[i - 1]);
     }
-    const bool isBaseMissing = !lacking.empty() || (answers[0] && answers[0]->lacksBase);
+    const bool isBaseMissing = !ranksWithoutBase.empty() || (answers[0] && answers[0]->lacksBase);
     if (isBaseMissing && !isDeposed()) {
         prepare.changes.clear();
         prepare.map = map;
-        takeOver(answers, orderAll(prepare, lacking, m_options.prepareLimit));
+        replaceEarlier(answers, orderAll(prepare, ranksWithoutBase, m_options.prepareLimit));
     }
     pass_number step = 0;
     for (const auto& answer : answers) {
@@ -477,10 +487,10 @@
 }
 
 // Delayed orders occur in bursts, so one slow arming is remembered for several changes.
-void map_leader::noteArming(duration took)
+void map_leader::recordArmingTime(duration elapsed)
 {
-    constexpr int rememberedShare = 3; // A quarter decays with each change.
-    m_armingTime = std::max(took, m_armingTime * rememberedShare / (rememberedShare + 1));
+    constexpr int keptParts = 3; // A quarter decays with each change.
+    m_armingTime = std::max(elapsed, m_armingTime * keptParts / (keptParts + 1));
 }
 
 pass_number map_leader::passesAhead() const
@@ -488,28 +498,28 @@
     constexpr int marginPercent = 140;
     const auto expected
         = std::clamp(m_armingTime * marginPercent / 100, m_options.leastArmingTime, m_options.mostArmingTime);
-    const auto passes = static_cast<pass_number>(std::ceil(toMilliseconds(expected) / m_passMs));
-    return std::clamp(passes, leastPassesAhead, mostPassesAhead);
+    const auto passes = static_cast<pass_number>(std::ceil(toMilliseconds(expected) / m_passMilliseconds));
+    return std::clamp(passes, minPassesAhead, maxPassesAhead);
 }
 
 const map_leader::member* map_leader::holder() const
 {
-    return m_members.empty() ? nullptr : &m_members[m_holder % m_members.size()];
+    return m_members.empty() ? nullptr : &m_members[m_holderIndex % m_members.size()];
 }
 
-result<wire::rank_state> map_leader::holdAt(const member& holder, pass_number step)
+result<wire::rank_state> map_leader::holdPassAt(const member& holder, pass_number step)
 {
-    const auto limit = clock_type::now() + holdLimit;
+    const auto deadline = clock_type::now() + holdTimeout;
     result<wire::rank_state> state = fail(error_kind::TimedOut, "the engine did not confirm the hold", "");
-    while (clock_type::now() < limit && !isDeposed()) {
+    while (clock_type::now() < deadline && !isDeposed()) {
         // The result is ignored: the rank's state shows whether the hold was carried out.
-        (void)holder.channel->hold(m_epoch, step, std::min(limit, clock_type::now() + holdAnswerLimit));
-        state = holder.channel->ask(wire::rank_query { .scope = scopeOf(holder.rank) }, limit);
+        (void)holder.channel->hold(m_epoch, step, std::min(deadline, clock_type::now() + holdAnswerTimeout));
+        state = holder.channel->ask(wire::rank_query { .scope = queryScope(holder.rank) }, deadline);
         if (!state || !isOfFormation(*state) || state->heldStep != 0 || state->step >= step)
             break;
     }
     if (state && state->group == m_group)
-        noteTerm(*state);
+        yieldToHigherTerm(*state);
     return state;
 }
 
@@ -520,22 +530,23 @@
 // The pass is held at another rank's engine, by a direct order from this process. If the own engine held the pass and
 // its VM stalled, no other process could release it before the VM resumed, which takes longer than the timeouts of the
 // group's streams.
-std::optional<pass_number> map_leader::holdAhead(pass_number step)
+std::optional<pass_number> map_leader::holdFuturePass(pass_number step)
 {
-    const auto* found = holder();
-    for (int tries = 0; found && tries < holdTries && !isDeposed(); ++tries) {
-        const auto current = m_own.answer(wire::rank_query { .scope = scopeOf(m_rank) }, clock_type::now() + holdLimit);
+    const auto* chosen = holder();
+    for (int tries = 0; chosen && tries < maxHoldTries && !isDeposed(); ++tries) {
+        const auto current = m_participant.answer(
+            wire::rank_query { .scope = queryScope(m_ownRank) }, clock_type::now() + holdTimeout);
         if (current)
             step = std::max(step, current->step);
-        const auto wanted = step + passesAhead();
-        const auto state = holdAt(*found, wanted);
-        if (state && state->heldStep == wanted && isOfFormation(*state))
-            return wanted;
+        const auto target = step + passesAhead();
+        const auto state = holdPassAt(*chosen, target);
+        if (state && state->heldStep == target && isOfFormation(*state))
+            return target;
         if (!state || !isOfFormation(*state) || state->heldStep != 0)
             break;
         step = std::max(step, state->step);
     }
-    ++m_holder; // The next change uses another holder.
+    ++m_holderIndex; // The next change uses another holder.
     logEvent(log_event::MapChangeFailed, "step=hold");
     return std::nullopt;
 }
@@ -550,16 +561,16 @@
                 || (state->armedVersion == target.version && state->armedStep == target.step));
     };
     const auto begunAt = clock_type::now();
-    const auto answers = orderOthers(arm, m_options.armLimit);
+    const auto answers = orderMembers(arm, m_options.armLimit);
     const bool allArmed = m_isComplete && std::all_of(answers.begin(), answers.end(), isArmed);
     if (!allArmed || isDeposed()) {
-        noteArming(clock_type::now() - begunAt);
+        recordArmingTime(clock_type::now() - begunAt);
         logEvent(log_event::MapChangeFailed, "step=arm " + describe(target));
         return false;
     }
-    arm.scope = nextScope();
-    const bool isOwnArmed = isArmed(m_own.answer(arm, clock_type::now() + m_options.armLimit));
-    noteArming(clock_type::now() - begunAt);
+    arm.scope = nextOrderScope();
+    const bool isOwnArmed = isArmed(m_participant.answer(arm, clock_type::now() + m_options.armLimit));
+    recordArmingTime(clock_type::now() - begunAt);
     return isOwnArmed && !isDeposed();
 }
 
@@ -570,14 +581,14 @@
 
 // Asks only the holder first: an order to all ranks takes a round trip through the whole group, during which passes may
 // be stopped.
-void map_leader::releaseHeld(pass_number step)
+void map_leader::releaseHeldPass(pass_number step)
 {
     if (isDeposed())
         return;
     if (const auto* at = holder()) {
-        wire::rank_release release { .scope = nextScope(), .step = step };
-        release.scope.life = scopeOf(at->rank).life;
-        const auto state = at->channel->ask(release, clock_type::now() + holderReleaseLimit);
+        wire::rank_release release { .scope = nextOrderScope(), .step = step };
+        release.scope.life = queryScope(at->rank).life;
+        const auto state = at->channel->ask(release, clock_type::now() + holderReleaseTimeout);
         if (state && isOfFormation(*state) && state->heldStep == 0)
             return;
     }
@@ -588,7 +599,7 @@
 {
     if (isDeposed())
         return;
-    (void)orderAll(wire::rank_release { .scope = {}, .step = step }, m_members, releaseLimit);
+    (void)orderAll(wire::rank_release { .scope = {}, .step = step }, m_members, releaseTimeout);
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/map_leader.h
+++ b/coltsfootbend/group/map_leader.h
@@ -36,7 +36,7 @@
         // Interval between two rounds that collect expert counts.
         duration cycle = std::chrono::milliseconds(200);
         // Minimum reduction of the mean skew for which a change is made.
-        double leastGain = 0.06;
+        double minGain = 0.06;
         // Interval of the heartbeats by which the ranks know during a long step that the leader is alive.
         duration beatEvery = std::chrono::milliseconds(400);
         // Timeout of a query to all ranks.
@@ -52,8 +52,8 @@
     };
 
     // `carrier` sends orders to many ranks at once; it must outlive the leader.
-    map_leader(
-        fiber_runtime&, map_participant& own, order_carrier&, const options&, std::minstd_rand::result_type seed);
+    map_leader(fiber_runtime&, map_participant& participant, order_carrier&, const options&,
+        std::minstd_rand::result_type seed);
 
     // Sets the channels to the other ranks of the group. Ranks of other groups may be included: they are queried but
     // receive no orders. Takes effect at the next round.
@@ -75,50 +75,50 @@
     using states_by_rank = std::vector<std::optional<wire::rank_state>>;
 
     // Queries all ranks, and updates the list of members that belong to the own formation.
-    states_by_rank gather(duration limit);
+    states_by_rank collectStates(duration timeout);
     // Sends a query to all ranks during a long step, so that they do not assume that the leader has failed.
-    void beat();
+    void sendHeartbeat();
     // Returns the scope that every query to a rank of the own formation carries.
-    wire::order_scope scopeOf(rank_number) const;
+    wire::order_scope queryScope(rank_number) const;
     // Returns the scope of the next order, with a new serial number.
-    wire::order_scope nextScope();
+    wire::order_scope nextOrderScope();
     // Sends `order` to all addressees concurrently, and yields to a newer leader whose term an answer reports.
-    carried_order askAll(const wire::rank_order&, const std::vector<addressee>&, duration limit);
+    carried_order sendToAll(const wire::rank_order&, const std::vector<addressee>&, duration timeout);
     // Sends an order to the own rank and to `members` concurrently. The own rank's answer is the first element.
     template <typename Order>
-    std::vector<result<wire::rank_state>> orderAll(Order, const std::vector<member>& members, duration limit);
+    std::vector<result<wire::rank_state>> orderAll(Order, const std::vector<member>& members, duration timeout);
     // Sends an order to all members, without the own rank.
-    template <typename Order> std::vector<result<wire::rank_state>> orderOthers(Order, duration limit);
+    template <typename Order> std::vector<result<wire::rank_state>> orderMembers(Order, duration timeout);
     // Marks the addressees whose expert counts are requested.
-    void chooseDemandSources(std::vector<addressee>&) const;
+    void selectDemandSources(std::vector<addressee>&) const;
     std::vector<addressee> addresseesOf(const std::vector<member>&) const;
     // Yields to the leader of a higher term that `state` reports.
-    void noteTerm(const wire::rank_state&);
+    void yieldToHigherTerm(const wire::rank_state&);
     // Updates the demand estimate, the formation and the pass duration from a round of states.
-    void learn(const states_by_rank&);
+    void updateEstimates(const states_by_rank&);
     // Updates the estimated pass duration from the number of passes begun since the last measurement.
-    void notePasses(pass_number step);
+    void updatePassDuration(pass_number step);
     // Logs why the leader has to wait, once for each change of the reason.
-    void noteWaiting(const group_resolution&, const states_by_rank&);
+    void logWaitReason(const group_resolution&, const states_by_rank&);
     // Drops the known map when the group has formed anew or an engine has restarted: such a group uses its initial map
     // again.
-    void noteFormation(const states_by_rank&);
+    void updateFormation(const states_by_rank&);
     bool isMapKnown(const wire::rank_state& own) const;
     // Plans a map for the estimated demand and brings it into use if the gain is sufficient. Returns the delay until
     // the next round.
     duration planAndChange(const states_by_rank&);
     // Returns the factor by which the required gain is raised in a group with idle capacity: skew costs time only where
     // ranks are busy.
-    double idleFactor(const states_by_rank&) const;
+    double idleGainFactor(const states_by_rank&) const;
     // Prepares, holds, arms and releases one map change.
-    void change(const states_by_rank&, const map_plan&);
+    void executeChange(const states_by_rank&, const map_plan&);
     // Prepares `map` on all ranks. Returns the latest pass that any of them has begun, or none if any rank did not
     // prepare it.
     std::optional<pass_number> prepareAll(engine_map_version version, const group_map& map);
     // Holds a pass far enough ahead for arming. Returns its number, or none if no hold was confirmed.
-    std::optional<pass_number> holdAhead(pass_number step);
+    std::optional<pass_number> holdFuturePass(pass_number step);
     // Holds the pass `step` at the given rank. Returns the rank's state afterwards.
-    result<wire::rank_state> holdAt(const member&, pass_number step);
+    result<wire::rank_state> holdPassAt(const member&, pass_number step);
     // Returns the rank at which passes are held, which is never the own rank; null if there is no other member.
     const member* holder() const;
     // Queries all ranks again, and returns whether their states lead to the same resolution.
@@ -127,16 +127,16 @@
     bool armAll(const armed_switch&);
     void disarmAll(engine_map_version);
     // Releases the pass at the rank that holds it, or at all ranks if that rank does not confirm.
-    void releaseHeld(pass_number step);
+    void releaseHeldPass(pass_number step);
     void releaseAll(pass_number step);
     // Returns how many passes after the current one a switch is scheduled.
     pass_number passesAhead() const;
-    void noteArming(duration took);
+    void recordArmingTime(duration elapsed);
     bool isOfFormation(const wire::rank_state& state) const { return state.group == m_group && state.epoch == m_epoch; }
-    bool isDeposed() const { return m_own.term() != m_term; }
+    bool isDeposed() const { return m_participant.term() != m_term; }
 
     fiber_runtime& m_runtime;
-    map_participant& m_own;
+    map_participant& m_participant;
     order_carrier& m_carrier;
     const options m_options;
     const map_planner m_planner;
@@ -145,32 +145,32 @@
     // Reached ranks of the own formation, in cyclic order from the rank after the own one, and the index of the one
     // that holds passes.
     std::vector<member> m_members;
-    std::size_t m_holder = 0;
+    std::size_t m_holderIndex = 0;
     bool m_isComplete = false;
     demand_estimator m_demand;
     std::vector<std::uint32_t> m_relayedDemand; // Expert counts of the last round, summed by the relaying ranks.
     leader_term m_term = 0;
     // Identifies this instance of a leader, since an earlier process may have led with the same term; and the number of
     // orders that it has sent.
-    const std::uint64_t m_run;
+    const std::uint64_t m_leaderRun;
     std::uint64_t m_serial = 0;
     group_epoch m_epoch = 0;
-    std::vector<std::uint64_t> m_lives; // Incarnations of the engines by rank; 0 if not reported.
+    std::vector<std::uint64_t> m_incarnations; // Incarnations of the engines by rank; 0 if not reported.
     std::string m_group;
-    rank_number m_rank = 0;
-    std::string m_formedGroup; // Group to which the known map and incarnations belong.
-    bool m_wantsMap = true;
+    rank_number m_ownRank = 0;
+    std::string m_knownGroup; // Group to which the known map and incarnations belong.
+    bool m_requestsMap = true;
     // Reason for which no change can be made at present; empty if changes are possible.
     std::string m_waitReason;
     engine_map_version m_mapVersion = 0;
     std::optional<group_map> m_map; // Map in use, version `m_mapVersion` of epoch `m_epoch`; none if unknown.
     // The last map that this leader has held a pass for.
-    engine_map_version m_nextVersion = 0;
-    group_map m_nextMap;
+    engine_map_version m_pendingVersion = 0;
+    group_map m_pendingMap;
     // Number and time of the last measured pass, and the smoothed pass duration in milliseconds.
-    pass_number m_lastStep = 0;
-    time_point m_lastStepAt {};
-    double m_passMs = 60;
+    pass_number m_lastMeasuredPass = 0;
+    time_point m_lastMeasuredAt {};
+    double m_passMilliseconds = 60;
     // Longest recent duration of arming all ranks, decaying with each change.
     duration m_armingTime {};
 };
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -18,68 +18,68 @@
 constexpr std::uint32_t sets = 2;
 constexpr std::uint32_t experts = 16;
 constexpr duration passTime = 4ms;
-constexpr duration freezeLength = 2500ms;
+constexpr duration stallLength = 2500ms;
 
 struct trial_faults {
     double lateShare = 0; // Share of the orders that are not answered and are carried out later.
     double lostShare = 0; // Share of the messages between agents that are lost.
     duration epochLength = std::chrono::hours(1); // Time after which a rank crashes and the group forms anew.
-    duration messageTime = 1ms; // Latency of a message between two agents.
+    duration messageLatency = 1ms; // Latency of a message between two agents.
     duration queryLimit = 100ms; // Timeout of a query to the whole group.
 };
 
 // An engine as seen by the agent on the same VM: calls block while the VM is stalled.
-class local_engine final : public rank_engine {
+class stallable_engine final : public rank_engine {
 public:
-    local_engine(fiber_runtime& runtime, model_group& group, rank_number rank, const time_point& pausedUntil)
+    stallable_engine(fiber_runtime& runtime, model_group& group, rank_number rank, const time_point& stalledUntil)
         : m_runtime(runtime)
         , m_engine(runtime, group, rank)
-        , m_pausedUntil(pausedUntil)
+        , m_stalledUntil(stalledUntil)
     {
     }
 
-    result<rank_report> report(time_point deadline) override { return awake().report(deadline); }
-    result<rank_demand> demand(time_point deadline) override { return awake().demand(deadline); }
-    result<rank_maps> maps(time_point deadline) override { return awake().maps(deadline); }
+    result<rank_report> report(time_point deadline) override { return engineOnceResumed().report(deadline); }
+    result<rank_demand> demand(time_point deadline) override { return engineOnceResumed().demand(deadline); }
+    result<rank_maps> maps(time_point deadline) override { return engineOnceResumed().maps(deadline); }
     result<void> prepare(
         group_epoch epoch, engine_map_version version, const group_map& map, time_point deadline) override
     {
-        return awake().prepare(epoch, version, map, deadline);
+        return engineOnceResumed().prepare(epoch, version, map, deadline);
     }
     result<void> arm(group_epoch epoch, const armed_switch& target, time_point deadline) override
     {
-        return awake().arm(epoch, target, deadline);
+        return engineOnceResumed().arm(epoch, target, deadline);
     }
     result<void> disarm(group_epoch epoch, engine_map_version version, time_point deadline) override
     {
-        return awake().disarm(epoch, version, deadline);
+        return engineOnceResumed().disarm(epoch, version, deadline);
     }
     result<void> hold(group_epoch epoch, pass_number step, time_point deadline) override
     {
-        return awake().hold(epoch, step, deadline);
+        return engineOnceResumed().hold(epoch, step, deadline);
     }
     result<void> release(group_epoch epoch, pass_number step, time_point deadline) override
     {
-        return awake().release(epoch, step, deadline);
+        return engineOnceResumed().release(epoch, step, deadline);
     }
 
-    model_engine& place() { return m_engine; }
+    model_engine& model() { return m_engine; }
 
 private:
-    model_engine& awake()
+    model_engine& engineOnceResumed()
     {
-        while (clock_type::now() < m_pausedUntil)
+        while (clock_type::now() < m_stalledUntil)
             m_runtime.sleepFor(2ms);
         return m_engine;
     }
 
     fiber_runtime& m_runtime;
     model_engine m_engine;
-    const time_point& m_pausedUntil;
+    const time_point& m_stalledUntil;
 };
 
 // Whether the leader sends orders to each rank directly, or each rank relays them to one other rank.
-enum class order_path { Direct, Relayed };
+enum class order_route { Direct, Relayed };
 
 struct model_agent;
 using model_agents = std::vector<std::unique_ptr<model_agent>>;
@@ -103,7 +103,7 @@
 private:
     // Delivers an order when the stalled VM of its receiver resumes. The receiver's clock did not count the time, so
     // the order's time left is unchanged.
-    void carryOutLate(model_agent&, const wire::relayed_order&);
+    void deliverOnceResumed(model_agent&, const wire::relayed_order&);
 
     fiber_runtime& m_runtime;
     model_group& m_group;
@@ -115,10 +115,10 @@
 // One rank's agent with its participant and its leader.
 struct model_agent {
     model_agent(fiber_runtime& runtime, model_group& group, rank_number number, unsigned seed,
-        const trial_faults& faults, const model_agents& agents, order_path path)
+        const trial_faults& faults, const model_agents& agents, order_route route)
         : queryLimit(faults.queryLimit)
         , rank(number)
-        , engine(runtime, group, number, pausedUntil)
+        , engine(runtime, group, number, stalledUntil)
         , participant(std::make_unique<map_participant>(runtime, engine))
         , transport(runtime, group, faults, agents, *this)
         , relay(runtime, transport, { .fanOut = 1, .silentPause = 100ms, .hopSlack = 3ms })
@@ -126,22 +126,22 @@
         , direct(runtime)
         , relayed(runtime, relay)
         , leader(std::make_unique<map_leader>(runtime, *participant,
-              path == order_path::Direct ? static_cast<order_carrier&>(direct) : relayed,
+              route == order_route::Direct ? static_cast<order_carrier&>(direct) : relayed,
               map_leader::options { .planner = { .placesPerRank = 6, .newPerChange = 2, .gainPerMove = 0.001 },
                   .sets = sets,
                   .experts = experts,
                   .cycle = 30ms,
-                  .leastGain = 0.02,
+                  .minGain = 0.02,
                   .queryLimit = faults.queryLimit,
                   .leastArmingTime = 20ms },
               seed))
     {
     }
 
-    time_point pausedUntil {}; // The agent's VM is stalled until then.
+    time_point stalledUntil {}; // The agent's VM is stalled until then.
     const duration queryLimit;
     rank_number rank;
-    local_engine engine;
+    stallable_engine engine;
     std::unique_ptr<map_participant> participant;
     model_transport transport;
     order_relay relay;
@@ -151,10 +151,10 @@
     std::unique_ptr<map_leader> leader;
 };
 
-void model_transport::carryOutLate(model_agent& agent, const wire::relayed_order& order)
+void model_transport::deliverOnceResumed(model_agent& agent, const wire::relayed_order& order)
 {
     m_runtime.spawn([&runtime = m_runtime, &agent, order] {
-        while (clock_type::now() < agent.pausedUntil)
+        while (clock_type::now() < agent.stalledUntil)
             runtime.sleepFor(2ms);
         (void)agent.node.answer(order, clock_type::now() + std::chrono::milliseconds(order.timeLeftMs));
     });
@@ -162,20 +162,21 @@
 
 result<wire::relayed_answers> model_transport::send(const wire::relayed_order& order, time_point deadline)
 {
-    constexpr duration takenLimit = 20ms;
+    constexpr duration deliveryTimeout = 20ms;
     auto& agent = *m_agents[std::stoul(order.own.host)];
-    const auto takenBy = std::min<time_point>(deadline, clock_type::now() + m_faults.messageTime + takenLimit);
-    m_runtime.sleepFor(m_faults.messageTime);
-    while (clock_type::now() < agent.pausedUntil && clock_type::now() < takenBy)
+    const auto deliveryDeadline
+        = std::min<time_point>(deadline, clock_type::now() + m_faults.messageLatency + deliveryTimeout);
+    m_runtime.sleepFor(m_faults.messageLatency);
+    while (clock_type::now() < agent.stalledUntil && clock_type::now() < deliveryDeadline)
         m_runtime.sleepFor(2ms);
-    if (clock_type::now() >= takenBy) {
-        carryOutLate(agent, order);
+    if (clock_type::now() >= deliveryDeadline) {
+        deliverOnceResumed(agent, order);
         return fail(error_kind::TimedOut, "not taken");
     }
     if (m_group.chance(m_faults.lostShare))
         return fail(error_kind::Lost, "lost");
     auto answers = agent.node.answer(order, clock_type::now() + std::chrono::milliseconds(order.timeLeftMs));
-    while (clock_type::now() < m_from.pausedUntil)
+    while (clock_type::now() < m_from.stalledUntil)
         m_runtime.sleepFor(2ms);
     if (m_group.chance(m_faults.lostShare))
         return fail(error_kind::Lost, "answer lost");
@@ -185,25 +186,25 @@
 class model_channel final : public rank_channel {
 public:
     model_channel(fiber_runtime& runtime, model_group& group, const trial_faults& faults, const model_agent& from,
-        model_agent& agent, std::size_t place)
+        model_agent& agent, std::size_t index)
         : m_runtime(runtime)
         , m_group(group)
         , m_faults(faults)
         , m_from(from)
         , m_agent(agent)
-        , m_place(place)
+        , m_index(index)
     {
     }
 
     result<wire::rank_state> ask(const wire::rank_order& asked, time_point deadline) override
     {
-        m_runtime.sleepFor(m_faults.messageTime);
-        while (clock_type::now() < m_agent.pausedUntil && clock_type::now() < deadline)
+        m_runtime.sleepFor(m_faults.messageLatency);
+        while (clock_type::now() < m_agent.stalledUntil && clock_type::now() < deadline)
             m_runtime.sleepFor(2ms);
         if (clock_type::now() >= deadline || m_group.chance(m_faults.lostShare))
             return fail(error_kind::Lost, "lost");
         auto state = m_agent.participant->answer(asked, deadline);
-        while (clock_type::now() < m_from.pausedUntil)
+        while (clock_type::now() < m_from.stalledUntil)
             m_runtime.sleepFor(2ms);
         if (m_group.chance(m_faults.lostShare))
             return fail(error_kind::Lost, "answer lost");
@@ -214,7 +215,7 @@
     result<void> hold(group_epoch epoch, pass_number step, time_point deadline) override
     {
         m_runtime.sleepFor(1ms);
-        if (clock_type::now() < m_agent.pausedUntil)
+        if (clock_type::now() < m_agent.stalledUntil)
             m_runtime.sleepUntil(deadline);
         if (clock_type::now() >= deadline || m_group.chance(m_faults.lostShare))
             return fail(error_kind::Lost, "lost");
@@ -223,13 +224,13 @@
 
     wire::relay_target relayTarget() const override
     {
-        return { .number = 0, .host = std::to_string(m_place), .life = 0, .dataCentre = 0 };
+        return { .number = 0, .host = std::to_string(m_index), .life = 0, .dataCentre = 0 };
     }
-    bool isAskedDirectly() const override { return clock_type::now() < m_silentUntil; }
+    bool isAskedDirectly() const override { return clock_type::now() < m_unresponsiveUntil; }
     void noteRelayed(const result<wire::rank_state>& state) override
     {
         if (!state)
-            m_silentUntil = clock_type::now() + 200ms;
+            m_unresponsiveUntil = clock_type::now() + 200ms;
     }
 
 private:
@@ -238,8 +239,8 @@
     const trial_faults m_faults;
     const model_agent& m_from;
     model_agent& m_agent;
-    const std::size_t m_place;
-    time_point m_silentUntil {};
+    const std::size_t m_index;
+    time_point m_unresponsiveUntil {};
 };
 
 // Connects each agent's leader to all other agents.
@@ -259,13 +260,13 @@
 struct trial_result {
     int mixedPasses = 0;
     int switches = 0;
-    int freezes = 0;
-    duration longestStand {}; // Longest time between two passes.
-    bool isMoving = false;
+    int stalls = 0;
+    duration longestGap {}; // Longest time between two passes.
+    bool isProgressing = false;
 };
 
 // Returns whether the group is in the state in which the leader's VM is to be stalled.
-using freeze_moment = std::function<bool(const model_group&)>;
+using stall_condition = std::function<bool(const model_group&)>;
 
 bool isHeldSomewhere(const model_group& group)
 {
@@ -284,19 +285,19 @@
     return armed;
 }
 
-// Stalls the VM of the current leader for `length` whenever `moment` holds, with time to recover in between.
-void freezeLeaders(fiber_runtime& runtime, const model_group& group, const model_agents& agents,
-    const freeze_moment& moment, duration length, time_point until, trial_result& outcome)
+// Stalls the VM of the current leader for `length` whenever `condition` holds, with time to recover in between.
+void stallLeaders(fiber_runtime& runtime, const model_group& group, const model_agents& agents,
+    const stall_condition& condition, duration length, time_point until, trial_result& outcome)
 {
     while (clock_type::now() < until) {
         runtime.sleepFor(200us);
-        if (!moment(group))
+        if (!condition(group))
             continue;
         leader_term newest = 0;
         for (const auto& agent : agents)
             newest = std::max(newest, agent->participant->term());
-        agents[leaderOf(newest)]->pausedUntil = clock_type::now() + length;
-        ++outcome.freezes;
+        agents[leaderOf(newest)]->stalledUntil = clock_type::now() + length;
+        ++outcome.stalls;
         runtime.sleepFor(length + 800ms);
     }
 }
@@ -314,37 +315,37 @@
         }
         const auto before = group.lastPassAt();
         if (group.beginPass() && before != time_point {})
-            outcome.longestStand = std::max<duration>(outcome.longestStand, group.lastPassAt() - before);
+            outcome.longestGap = std::max<duration>(outcome.longestGap, group.lastPassAt() - before);
     }
 }
 
 // Runs one agent: leads while the newest term is its own, and claims the lead when the leader is unresponsive. With
-// probability `pauseShare` an iteration stalls the agent's VM.
-void runAgent(fiber_runtime& runtime, model_agent& agent, time_point until, model_group& group, double pauseShare)
+// probability `stallProbability` an iteration stalls the agent's VM.
+void runAgent(fiber_runtime& runtime, model_agent& agent, time_point until, model_group& group, double stallProbability)
 {
     while (clock_type::now() < until) {
-        if (clock_type::now() < agent.pausedUntil) {
+        if (clock_type::now() < agent.stalledUntil) {
             runtime.sleepFor(2ms);
             continue;
         }
-        if (pauseShare > 0 && group.chance(pauseShare))
-            agent.pausedUntil = clock_type::now() + 350ms;
-        const auto rank = agent.engine.place().rank();
+        if (stallProbability > 0 && group.chance(stallProbability))
+            agent.stalledUntil = clock_type::now() + 350ms;
+        const auto rank = agent.engine.model().rank();
         // Longer than a query, since a leader may be waiting for an answer.
-        const auto silence = agent.queryLimit + 50ms + rank * 60ms;
+        const auto leaderTimeout = agent.queryLimit + 50ms + rank * 60ms;
         const auto term = agent.participant->term();
         if (term != 0 && leaderOf(term) == rank)
             runtime.sleepFor(std::max<duration>(agent.leader->lead(term), 1ms));
-        else if (clock_type::now() > agent.participant->heardAt() + silence)
+        else if (clock_type::now() > agent.participant->heardAt() + leaderTimeout)
             (void)agent.participant->claim(rank);
         else
             runtime.sleepFor(10ms);
     }
 }
 
-// Runs one group for `length`. With `pauses`, agents stall at random, so that the lead changes repeatedly.
-trial_result play(order_path path, const trial_faults& faults, bool pauses, unsigned seed, duration length,
-    const freeze_moment& freezeAt = {})
+// Runs one group for `length`. With `stallsAtRandom`, agents stall at random, so that the lead changes repeatedly.
+trial_result runGroup(order_route route, const trial_faults& faults, bool stallsAtRandom, unsigned seed,
+    duration length, const stall_condition& stallWhen = {})
 {
     trial_result outcome;
     std::thread([&] {
@@ -356,22 +357,22 @@
             model_agents agents;
             for (rank_number rank = 0; rank < ranks; ++rank)
                 agents.push_back(
-                    std::make_unique<model_agent>(runtime, *group, rank, seed + rank, faults, agents, path));
+                    std::make_unique<model_agent>(runtime, *group, rank, seed + rank, faults, agents, route));
             connectAll(runtime, *group, faults, agents);
             for (auto& agent : agents) {
-                runtime.spawn([&runtime, &agent = *agent, until, pauses, group] {
-                    runAgent(runtime, agent, until, *group, pauses ? 0.02 : 0);
+                runtime.spawn([&runtime, &agent = *agent, until, stallsAtRandom, group] {
+                    runAgent(runtime, agent, until, *group, stallsAtRandom ? 0.02 : 0);
                 });
             }
-            if (freezeAt) {
+            if (stallWhen) {
                 runtime.spawn([&, group] {
-                    freezeLeaders(runtime, *group, agents, freezeAt, freezeLength, until - freezeLength, outcome);
+                    stallLeaders(runtime, *group, agents, stallWhen, stallLength, until - stallLength, outcome);
                 });
             }
             runPasses(runtime, *group, faults, until, outcome);
             outcome.mixedPasses = group->mixedPasses();
             outcome.switches = group->switches() / static_cast<int>(ranks);
-            outcome.isMoving = group->lastPassAt() > until - 1500ms;
+            outcome.isProgressing = group->lastPassAt() > until - 1500ms;
             // Lets pending calls end before the model is destroyed.
             runtime.sleepFor(1500ms);
             runtime.stop();
@@ -383,7 +384,7 @@
 
 // Runs two groups of one service. Periodically both form anew at the same time, so that their epoch numbers are equal,
 // and two engines trade groups.
-trial_result playTwoGroups(order_path path, const trial_faults& faults, unsigned seed, duration length)
+trial_result runTwoGroups(order_route route, const trial_faults& faults, unsigned seed, duration length)
 {
     trial_result outcome;
     std::thread([&] {
@@ -402,7 +403,7 @@
             for (auto& group : groups) {
                 for (rank_number rank = 0; rank < ranks; ++rank)
                     agents.push_back(std::make_unique<model_agent>(
-                        runtime, *group, rank, seed + static_cast<unsigned>(agents.size()), faults, agents, path));
+                        runtime, *group, rank, seed + static_cast<unsigned>(agents.size()), faults, agents, route));
             }
             connectAll(runtime, *groups[0], faults, agents);
             for (auto& agent : agents) {
@@ -410,28 +411,28 @@
                     runAgent(runtime, agent, until, *group, 0);
                 });
             }
-            auto formAt = clock_type::now() + faults.epochLength;
+            auto nextFormationAt = clock_type::now() + faults.epochLength;
             for (rank_number moved = 0; clock_type::now() < until;) {
                 runtime.sleepFor(passTime);
                 for (auto& group : groups)
                     (void)group->beginPass();
-                if (clock_type::now() < formAt)
+                if (clock_type::now() < nextFormationAt)
                     continue;
-                formAt = clock_type::now() + faults.epochLength;
-                auto& one = agents[moved]->engine.place();
-                auto& other = agents[ranks + moved]->engine.place();
-                const bool isOneInFirst = &one.group() == groups[0].get();
-                one.moveTo(*groups[isOneInFirst ? 1 : 0], moved);
-                other.moveTo(*groups[isOneInFirst ? 0 : 1], moved);
+                nextFormationAt = clock_type::now() + faults.epochLength;
+                auto& left = agents[moved]->engine.model();
+                auto& right = agents[ranks + moved]->engine.model();
+                const bool isLeftInFirst = &left.group() == groups[0].get();
+                left.moveTo(*groups[isLeftInFirst ? 1 : 0], moved);
+                right.moveTo(*groups[isLeftInFirst ? 0 : 1], moved);
                 moved = (moved + 1) % ranks;
                 for (auto& group : groups)
                     group->form();
             }
-            outcome.isMoving = true;
+            outcome.isProgressing = true;
             for (const auto& group : groups) {
                 outcome.mixedPasses += group->mixedPasses();
                 outcome.switches += group->switches() / static_cast<int>(ranks);
-                outcome.isMoving = outcome.isMoving && group->lastPassAt() > until - 1500ms;
+                outcome.isProgressing = outcome.isProgressing && group->lastPassAt() > until - 1500ms;
             }
             runtime.sleepFor(1500ms);
             runtime.stop();
@@ -442,55 +443,55 @@
 }
 
 // Returns the seed of a test. Set COLTSFOOTBEND_MAP_SEED to shift the fixed seeds in manual runs.
-unsigned seedOf(unsigned fixed)
+unsigned testSeed(unsigned fixed)
 {
     const char* shift = std::getenv("COLTSFOOTBEND_MAP_SEED");
     return fixed + (shift ? static_cast<unsigned>(std::strtoul(shift, nullptr, 10)) : 0);
 }
 
 // Runs each test with direct and with relayed orders.
-class map_leader_trial : public testing::TestWithParam<order_path> { };
+class map_leader_trial : public testing::TestWithParam<order_route> { };
 
-INSTANTIATE_TEST_SUITE_P(OrdersGo, map_leader_trial, testing::Values(order_path::Direct, order_path::Relayed),
-    [](const auto& path) { return path.param == order_path::Direct ? "Directly" : "ByWayOfOthers"; });
+INSTANTIATE_TEST_SUITE_P(OrdersGo, map_leader_trial, testing::Values(order_route::Direct, order_route::Relayed),
+    [](const auto& route) { return route.param == order_route::Direct ? "Directly" : "ByWayOfOthers"; });
 
 TEST_P(map_leader_trial, BringsBetterMapsIntoUseWhenNothingFails)
 {
-    const auto outcome = play(GetParam(), {}, false, seedOf(1), 2s);
+    const auto outcome = runGroup(GetParam(), {}, false, testSeed(1), 2s);
     EXPECT_EQ(outcome.mixedPasses, 0);
     EXPECT_GE(outcome.switches, 4);
-    EXPECT_TRUE(outcome.isMoving);
+    EXPECT_TRUE(outcome.isProgressing);
 }
 
 TEST_P(map_leader_trial, NeverMixesMapsWhenOrdersAreCarriedOutLate)
 {
-    const auto outcome = play(GetParam(), { .lateShare = 0.35 }, false, seedOf(2), 5s);
+    const auto outcome = runGroup(GetParam(), { .lateShare = 0.35 }, false, testSeed(2), 5s);
     EXPECT_EQ(outcome.mixedPasses, 0);
     EXPECT_GE(outcome.switches, 1);
-    EXPECT_TRUE(outcome.isMoving);
+    EXPECT_TRUE(outcome.isProgressing);
 }
 
 TEST_P(map_leader_trial, NeverMixesMapsWhenLeadersPauseAndMessagesAreLost)
 {
-    const auto outcome = play(GetParam(), { .lateShare = 0.1, .lostShare = 0.05 }, true, seedOf(3), 6s);
+    const auto outcome = runGroup(GetParam(), { .lateShare = 0.1, .lostShare = 0.05 }, true, testSeed(3), 6s);
     EXPECT_EQ(outcome.mixedPasses, 0);
-    EXPECT_TRUE(outcome.isMoving);
+    EXPECT_TRUE(outcome.isProgressing);
 }
 
 TEST_P(map_leader_trial, NeverMixesMapsWhenTheGroupIsFormedAnew)
 {
     const auto outcome
-        = play(GetParam(), { .lateShare = 0.2, .lostShare = 0.02, .epochLength = 700ms }, true, seedOf(4), 6s);
+        = runGroup(GetParam(), { .lateShare = 0.2, .lostShare = 0.02, .epochLength = 700ms }, true, testSeed(4), 6s);
     EXPECT_EQ(outcome.mixedPasses, 0);
-    EXPECT_TRUE(outcome.isMoving);
+    EXPECT_TRUE(outcome.isProgressing);
 }
 
 TEST_P(map_leader_trial, NeverMixesMapsOfTwoGroupsWhoseMembersChange)
 {
-    const auto outcome = playTwoGroups(GetParam(), { .epochLength = 800ms }, seedOf(7), 8s);
+    const auto outcome = runTwoGroups(GetParam(), { .epochLength = 800ms }, testSeed(7), 8s);
     EXPECT_EQ(outcome.mixedPasses, 0);
     EXPECT_GE(outcome.switches, 8);
-    EXPECT_TRUE(outcome.isMoving);
+    EXPECT_TRUE(outcome.isProgressing);
 }
 
 // Guards against a map version prepared for one group being armed in another. When two groups form anew with equal
@@ -499,21 +500,21 @@
 TEST_P(map_leader_trial, NeverMixesMapsOfTwoGroupsWhenOrdersAreCarriedOutLate)
 {
     const auto outcome
-        = playTwoGroups(GetParam(), { .lateShare = 0.2, .lostShare = 0.02, .epochLength = 800ms }, seedOf(8), 8s);
+        = runTwoGroups(GetParam(), { .lateShare = 0.2, .lostShare = 0.02, .epochLength = 800ms }, testSeed(8), 8s);
     EXPECT_EQ(outcome.mixedPasses, 0);
     EXPECT_GE(outcome.switches, 1);
-    EXPECT_TRUE(outcome.isMoving);
+    EXPECT_TRUE(outcome.isProgressing);
 }
 
 // The leader's VM stalls while a pass is held and no rank is armed. The next leader must release the held pass.
 TEST_P(map_leader_trial, AGroupThatIsHeldByALeaderThatStandsStillGoesOn)
 {
     const auto held = [](const model_group& group) { return isHeldSomewhere(group) && armedRanks(group) == 0; };
-    const auto outcome = play(GetParam(), {}, false, seedOf(5), 9s, held);
-    EXPECT_GE(outcome.freezes, 2);
+    const auto outcome = runGroup(GetParam(), {}, false, testSeed(5), 9s, held);
+    EXPECT_GE(outcome.stalls, 2);
     EXPECT_EQ(outcome.mixedPasses, 0);
-    EXPECT_LT(toMilliseconds(outcome.longestStand), 1500);
-    EXPECT_TRUE(outcome.isMoving);
+    EXPECT_LT(toMilliseconds(outcome.longestGap), 1500);
+    EXPECT_TRUE(outcome.isProgressing);
 }
 
 // Guards against a confirming query with a shorter timeout than a round of a large group needs. The query then always
@@ -524,15 +525,16 @@
     // state of the leader's own rank cannot be inferred.
     const auto held = [wasHeld = true](const model_group& group) mutable {
         const bool isHeld = isHeldSomewhere(group) && armedRanks(group) == 0;
-        const bool begins = isHeld && !wasHeld;
+        const bool isStart = isHeld && !wasHeld;
         wasHeld = isHeld;
-        return begins;
+        return isStart;
     };
-    const auto outcome = play(GetParam(), { .messageTime = 60ms, .queryLimit = 300ms }, false, seedOf(9), 12s, held);
-    EXPECT_GE(outcome.freezes, 2);
+    const auto outcome
+        = runGroup(GetParam(), { .messageLatency = 60ms, .queryLimit = 300ms }, false, testSeed(9), 12s, held);
+    EXPECT_GE(outcome.stalls, 2);
     EXPECT_EQ(outcome.mixedPasses, 0);
-    EXPECT_LT(toMilliseconds(outcome.longestStand), 2000);
-    EXPECT_TRUE(outcome.isMoving);
+    EXPECT_LT(toMilliseconds(outcome.longestGap), 2000);
+    EXPECT_TRUE(outcome.isProgressing);
 }
 
 TEST_P(map_leader_trial, AGroupWithSomeRanksArmedByALeaderThatStandsStillNeverMixesMaps)
@@ -541,10 +543,10 @@
         const int armed = armedRanks(group);
         return isHeldSomewhere(group) && armed > 0 && armed < static_cast<int>(ranks);
     };
-    const auto outcome = play(GetParam(), { .lateShare = 0.1 }, false, seedOf(6), 12s, someArmed);
-    EXPECT_GE(outcome.freezes, 2);
+    const auto outcome = runGroup(GetParam(), { .lateShare = 0.1 }, false, testSeed(6), 12s, someArmed);
+    EXPECT_GE(outcome.stalls, 2);
     EXPECT_EQ(outcome.mixedPasses, 0);
-    EXPECT_TRUE(outcome.isMoving);
+    EXPECT_TRUE(outcome.isProgressing);
 }
 
 } // namespace
--- a/coltsfootbend/group/map_planner_test.cpp
+++ b/coltsfootbend/group/map_planner_test.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint32_t experts = 72;
 
 // Returns the initial map of a group: experts assigned to the ranks in turn, with some places free.
-group_map firstMap(std::size_t sets)
+group_map initialMap(std::size_t sets)
 {
     group_map map(sets, rank_experts(ranks));
     for (auto& set : map) {
@@ -36,12 +36,12 @@
 }
 
 const std::vector<double> evenPaces(ranks, 1.0);
-const map_planner::options usual { .placesPerRank = 8, .newPerChange = 3, .gainPerMove = 0.01 };
+const map_planner::options defaultOptions { .placesPerRank = 8, .newPerChange = 3, .gainPerMove = 0.01 };
 
 TEST(MapPlanner, OneChangeTakesMostOfTheSkewOfTheFirstMap)
 {
     const auto demand = skewedDemand(4, 1);
-    const auto plan = map_planner(usual).plan(firstMap(4), demand, evenPaces);
+    const auto plan = map_planner(defaultOptions).plan(initialMap(4), demand, evenPaces);
     EXPECT_GT(plan.skewBefore, 2.0);
     EXPECT_LT(plan.skewAfter, 1.25);
     EXPECT_NEAR(plan.skewAfter, map_planner::skewOf(plan.next, demand, evenPaces), 1e-9);
@@ -50,18 +50,18 @@
 TEST(MapPlanner, AGoodMapIsLeftAlone)
 {
     const group_demand even(4, std::vector<double>(experts, 10.0));
-    const auto plan = map_planner(usual).plan(firstMap(4), even, evenPaces);
+    const auto plan = map_planner(defaultOptions).plan(initialMap(4), even, evenPaces);
     EXPECT_EQ(plan.moves, 0U);
-    EXPECT_EQ(plan.next, firstMap(4));
+    EXPECT_EQ(plan.next, initialMap(4));
 }
 
 TEST(MapPlanner, DearerMovesMakeFewer)
 {
     const auto demand = skewedDemand(4, 2);
-    auto dear = usual;
-    dear.gainPerMove = 0.08;
-    EXPECT_LT(map_planner(dear).plan(firstMap(4), demand, evenPaces).moves,
-        map_planner(usual).plan(firstMap(4), demand, evenPaces).moves);
+    auto costly = defaultOptions;
+    costly.gainPerMove = 0.08;
+    EXPECT_LT(map_planner(costly).plan(initialMap(4), demand, evenPaces).moves,
+        map_planner(defaultOptions).plan(initialMap(4), demand, evenPaces).moves);
 }
 
 TEST(MapPlanner, ASlowRankGetsLess)
@@ -69,9 +69,9 @@
     const auto demand = skewedDemand(1, 3);
     auto paces = evenPaces;
     paces[4] = 3;
-    const auto plan = map_planner(usual).plan(firstMap(1), demand, paces);
+    const auto plan = map_planner(defaultOptions).plan(initialMap(1), demand, paces);
     EXPECT_LT(plan.skewAfter, plan.skewBefore);
-    EXPECT_LT(map_planner::skewOf(plan.next, demand, paces), map_planner::skewOf(firstMap(1), demand, paces));
+    EXPECT_LT(map_planner::skewOf(plan.next, demand, paces), map_planner::skewOf(initialMap(1), demand, paces));
 }
 
 // For any demand and any number of successive plans, a planned map is valid for the engines: it keeps every expert, and
@@ -81,21 +81,21 @@
     const auto places = *rc::gen::inRange<std::uint32_t>(6, 10);
     const auto spare = *rc::gen::inRange<std::uint32_t>(1, 5);
     const map_planner planner({ .placesPerRank = places, .newPerChange = spare, .gainPerMove = 0.001 });
-    auto map = firstMap(2);
+    auto map = initialMap(2);
     const auto changes = *rc::gen::inRange(1, 4);
     for (int change = 0; change < changes; ++change) {
         const auto next = planner.plan(map, skewedDemand(2, *rc::gen::inRange(0U, 100'000U)), evenPaces).next;
         for (std::size_t set = 0; set < next.size(); ++set) {
             std::set<std::uint32_t> held;
             for (rank_number rank = 0; rank < ranks; ++rank) {
-                const auto& mine = next[set][rank];
-                RC_ASSERT(mine.size() <= places);
-                RC_ASSERT(std::set<std::uint32_t>(mine.begin(), mine.end()).size() == mine.size());
-                std::uint32_t fresh = 0;
-                for (const auto expert : mine)
-                    fresh += std::find(map[set][rank].begin(), map[set][rank].end(), expert) == map[set][rank].end();
-                RC_ASSERT(fresh <= spare);
-                held.insert(mine.begin(), mine.end());
+                const auto& placed = next[set][rank];
+                RC_ASSERT(placed.size() <= places);
+                RC_ASSERT(std::set<std::uint32_t>(placed.begin(), placed.end()).size() == placed.size());
+                std::uint32_t added = 0;
+                for (const auto expert : placed)
+                    added += std::find(map[set][rank].begin(), map[set][rank].end(), expert) == map[set][rank].end();
+                RC_ASSERT(added <= spare);
+                held.insert(placed.begin(), placed.end());
             }
             RC_ASSERT(held.size() == experts);
         }
@@ -108,11 +108,11 @@
 TEST(MapPlanner, OneChangeBringsNoRankMoreCopiesThanItMayAndStillTakesMostOfTheSkew)
 {
     constexpr std::size_t sets = 4;
-    auto limited = usual;
+    auto limited = defaultOptions;
     limited.copiesPerRank = 3;
-    const auto map = firstMap(sets);
+    const auto map = initialMap(sets);
     const auto demand = skewedDemand(sets, 5);
-    const auto whole = map_planner(usual).plan(map, demand, evenPaces);
+    const auto whole = map_planner(defaultOptions).plan(map, demand, evenPaces);
     const auto first = map_planner(limited).plan(map, demand, evenPaces);
     for (rank_number rank = 0; rank < ranks; ++rank) {
         std::uint32_t copied = 0;
--- a/coltsfootbend/group/placement.cpp
+++ b/coltsfootbend/group/placement.cpp
@@ -12,27 +12,27 @@
 // Number of least loaded ranks that are considered as targets of a move.
 constexpr std::size_t candidateRanks = 24;
 // Number of consecutive moves without a gain that are tried before the planner stops.
-constexpr std::size_t patience = 12;
+constexpr std::size_t maxMovesWithoutGain = 12;
 
 } // namespace
 
 placement placement::initial(rank_number ranks, expert_number experts, std::uint32_t slots)
 {
-    placement made;
-    made.m_ranks = ranks;
-    made.m_slots = slots;
-    made.m_expert.resize(static_cast<std::size_t>(ranks) * slots);
-    made.m_replicas.resize(experts);
+    placement placed;
+    placed.m_ranks = ranks;
+    placed.m_slots = slots;
+    placed.m_expert.resize(static_cast<std::size_t>(ranks) * slots);
+    placed.m_replicas.resize(experts);
     // Each round through the experts is shifted by one, so that the replicas of an expert are on different ranks.
     for (std::uint32_t slot = 0; slot < slots; ++slot) {
         for (rank_number rank = 0; rank < ranks; ++rank) {
             const auto index = static_cast<std::size_t>(slot) * ranks + rank;
             const auto expert = static_cast<expert_number>((index + index / experts) % experts);
-            made.m_expert[rank * slots + slot] = expert;
-            ++made.m_replicas[expert];
+            placed.m_expert[rank * slots + slot] = expert;
+            ++placed.m_replicas[expert];
         }
     }
-    return made;
+    return placed;
 }
 
 bool placement::holds(rank_number rank, expert_number expert) const
@@ -105,12 +105,12 @@
     double skew() const { return m_placement.skew(m_load); }
 
     // Applies the best move for the busiest rank. Returns the number of moved experts; 0 if no move lowers the load.
-    std::size_t relieve()
+    std::size_t applyBestMove()
     {
         const auto busiest
             = static_cast<rank_number>(std::max_element(m_loads.begin(), m_loads.end()) - m_loads.begin());
         std::optional<candidate_move> best;
-        for (const auto other : leastBusy(busiest)) {
+        for (const auto other : leastLoadedRanks(busiest)) {
             for (std::uint32_t slot = 0; slot < m_placement.slots(); ++slot) {
                 for (std::uint32_t otherSlot = 0; otherSlot < m_placement.slots(); ++otherSlot) {
                     consider(replicate(busiest, slot, other, otherSlot), best);
@@ -129,7 +129,7 @@
     }
 
 private:
-    std::vector<rank_number> leastBusy(rank_number except) const
+    std::vector<rank_number> leastLoadedRanks(rank_number except) const
     {
         std::vector<rank_number> order(m_loads.size());
         std::iota(order.begin(), order.end(), 0U);
@@ -141,7 +141,7 @@
         return order;
     }
 
-    double each(expert_number expert) const { return m_load[expert] / m_placement.replicas(expert); }
+    double loadPerReplica(expert_number expert) const { return m_load[expert] / m_placement.replicas(expert); }
 
     static void consider(const std::optional<candidate_move>& move, std::optional<candidate_move>& best)
     {
@@ -154,15 +154,15 @@
     std::optional<candidate_move> replicate(
         rank_number busiest, std::uint32_t slot, rank_number other, std::uint32_t otherSlot) const
     {
-        const auto hot = m_placement.at(busiest, slot);
+        const auto replicated = m_placement.at(busiest, slot);
         const auto dropped = m_placement.at(other, otherSlot);
-        if (hot == dropped || m_placement.replicas(dropped) < 2 || m_placement.holds(other, hot))
+        if (replicated == dropped || m_placement.replicas(dropped) < 2 || m_placement.holds(other, replicated))
             return std::nullopt;
-        const double after = m_load[hot] / (m_placement.replicas(hot) + 1);
-        const double left = m_loads[busiest] - each(hot) + after;
-        const double right = m_loads[other] - each(dropped) + after;
+        const double after = m_load[replicated] / (m_placement.replicas(replicated) + 1);
+        const double left = m_loads[busiest] - loadPerReplica(replicated) + after;
+        const double right = m_loads[other] - loadPerReplica(dropped) + after;
         const double droppedAfter = m_load[dropped] / (m_placement.replicas(dropped) - 1);
-        const double rise = droppedAfter - each(dropped);
+        const double rise = droppedAfter - loadPerReplica(dropped);
         double score = std::max(left, right);
         // The remaining holders of the dropped expert take over its share.
         for (rank_number rank = 0; rank < m_placement.ranks(); ++rank) {
@@ -180,7 +180,7 @@
         const auto light = m_placement.at(other, otherSlot);
         if (m_placement.holds(other, heavy) || m_placement.holds(busiest, light))
             return std::nullopt;
-        const double change = each(heavy) - each(light);
+        const double change = loadPerReplica(heavy) - loadPerReplica(light);
         const double score = std::max(m_loads[busiest] - change, m_loads[other] + change);
         return candidate_move { true, busiest, slot, other, otherSlot, score };
     }
@@ -199,15 +199,15 @@
         .next = current, .moves = 0, .skewBefore = current.skew(load), .skewAfter = current.skew(load)
     };
     std::size_t moves = 0;
-    std::size_t idle = 0;
+    std::size_t movesWithoutGain = 0;
     double bestValue = 0;
     // Several ranks may be equally busy, so a single move often gains nothing by itself. The plan is truncated to the
     // sequence of moves with the highest value.
-    while (moves < options.maxMoves && idle < patience) {
-        const auto made = planner.relieve();
-        if (made == 0)
+    while (moves < options.maxMoves && movesWithoutGain < maxMovesWithoutGain) {
+        const auto moved = planner.applyBestMove();
+        if (moved == 0)
             break;
-        moves += made;
+        moves += moved;
         const double skew = planner.skew();
         const double value = plan.skewBefore - skew - options.gainPerMove * static_cast<double>(moves);
         if (value > bestValue && moves <= options.maxMoves) {
@@ -215,9 +215,9 @@
             plan.next = planner.result();
             plan.moves = moves;
             plan.skewAfter = skew;
-            idle = 0;
+            movesWithoutGain = 0;
         } else {
-            ++idle;
+            ++movesWithoutGain;
         }
     }
     return plan;
--- a/coltsfootbend/group/placement_test.cpp
+++ b/coltsfootbend/group/placement_test.cpp
@@ -14,7 +14,7 @@
     return load;
 }
 
-bool everyExpertHasAPlace(const placement& placed)
+bool everyExpertIsPlaced(const placement& placed)
 {
     for (expert_number expert = 0; expert < placed.experts(); ++expert) {
         bool found = false;
@@ -35,7 +35,7 @@
     const auto current = placement::initial(ranks, experts, slots);
     const rebalance_options options { .gainPerMove = 0.001, .maxMoves = *rc::gen::inRange<std::size_t>(0, 20) };
     const auto plan = planRebalance(current, load, options);
-    RC_ASSERT(everyExpertHasAPlace(plan.next));
+    RC_ASSERT(everyExpertIsPlaced(plan.next));
     RC_ASSERT(plan.moves <= options.maxMoves);
     RC_ASSERT(current.movesTo(plan.next) <= plan.moves);
     RC_ASSERT(plan.skewAfter <= plan.skewBefore);
@@ -68,9 +68,9 @@
         load.push_back(1 + (i * 7) % 13);
     const auto current = placement::initial(16, 32, 4);
     const auto cheap = planRebalance(current, load, { .gainPerMove = 0.0001, .maxMoves = 100 });
-    const auto dear = planRebalance(current, load, { .gainPerMove = 0.05, .maxMoves = 100 });
-    EXPECT_LT(dear.moves, cheap.moves);
-    EXPECT_LE(cheap.skewAfter, dear.skewAfter);
+    const auto costly = planRebalance(current, load, { .gainPerMove = 0.05, .maxMoves = 100 });
+    EXPECT_LT(costly.moves, cheap.moves);
+    EXPECT_LE(cheap.skewAfter, costly.skewAfter);
 }
 
 } // namespace
--- a/coltsfootbend/group/rebalancer.cpp
+++ b/coltsfootbend/group/rebalancer.cpp
@@ -21,7 +21,7 @@
 
 bool rebalancer::isProtected(time_point now) const
 {
-    return std::any_of(m_protected.begin(), m_protected.end(),
+    return std::any_of(m_protectedWindows.begin(), m_protectedWindows.end(),
         [now](const protected_window& window) { return now >= window.start && now < window.end; });
 }
 
--- a/coltsfootbend/group/rebalancer.h
+++ b/coltsfootbend/group/rebalancer.h
@@ -45,7 +45,7 @@
     // Adds one report of the experts' load to the estimate. Precondition: the report has one value for each expert.
     void observe(const expert_load&);
 
-    void setProtected(std::vector<protected_window> windows) { m_protected = std::move(windows); }
+    void setProtected(std::vector<protected_window> windows) { m_protectedWindows = std::move(windows); }
     bool isProtected(time_point now) const;
 
     // Returns a plan if one is due, permitted and worth its moves. Changes no state but the time of the next plan.
@@ -62,7 +62,7 @@
     const options m_options;
     placement m_current;
     expert_load m_estimate;
-    std::vector<protected_window> m_protected;
+    std::vector<protected_window> m_protectedWindows;
     time_point m_nextPlanAt {};
 };
 
--- a/coltsfootbend/group/rebalancer_test.cpp
+++ b/coltsfootbend/group/rebalancer_test.cpp
@@ -16,7 +16,7 @@
     return load;
 }
 
-rebalancer layer(double protectedLimit = 100)
+rebalancer makeRebalancer(double protectedLimit = 100)
 {
     return rebalancer(
         placement::initial(8, 16, 4), { .gainPerMove = 0.01, .interval = 5min, .protectedLimit = protectedLimit });
@@ -24,7 +24,7 @@
 
 TEST(Rebalancer, PlansWhenDueAndWorthIt)
 {
-    auto balanced = layer();
+    auto balanced = makeRebalancer();
     EXPECT_FALSE(balanced.decide(start)) << "nothing is known yet";
     balanced.observe(hotExpert());
     const auto plan = balanced.decide(start);
@@ -36,14 +36,14 @@
 
 TEST(Rebalancer, KeepsOutOfProtectedHoursUnlessTheLossPassesTheLimit)
 {
-    const std::vector<protected_window> morning { { start, start + 4h } };
-    auto calm = layer();
-    calm.setProtected(morning);
-    calm.observe(hotExpert());
-    EXPECT_FALSE(calm.decide(start + 1h));
-    EXPECT_TRUE(calm.decide(start + 4h)) << "the window is over";
-    auto strict = layer(1.5);
-    strict.setProtected(morning);
+    const std::vector<protected_window> windows { { start, start + 4h } };
+    auto lenient = makeRebalancer();
+    lenient.setProtected(windows);
+    lenient.observe(hotExpert());
+    EXPECT_FALSE(lenient.decide(start + 1h));
+    EXPECT_TRUE(lenient.decide(start + 4h)) << "the window is over";
+    auto strict = makeRebalancer(1.5);
+    strict.setProtected(windows);
     strict.observe(hotExpert());
     EXPECT_GT(strict.expectedSkew(), 1.5);
     EXPECT_TRUE(strict.decide(start + 1h));
@@ -51,7 +51,7 @@
 
 TEST(Rebalancer, OneOddReportMovesLittle)
 {
-    auto steady = layer();
+    auto steady = makeRebalancer();
     for (int i = 0; i < 10; ++i)
         steady.observe(expert_load(16, 1.0 / 16));
     const double before = steady.expectedSkew();
