--- a/coltsfootbend/group/demand_estimator_test.cpp
+++ b/coltsfootbend/group/demand_estimator_test.cpp
@@ -85,7 +85,7 @@
     return model.error(estimator.demand());
 }
 
-TEST(DemandEstimator, AveragesRoundsWhileDemandStays)
+TEST(DemandEstimator, AveragesRoundsWhileDemandIsStable)
 {
     double singleRound = 0;
     double averaged = 0;
@@ -100,7 +100,7 @@
 
 // A third of the topics changes. The reference is an estimator that starts at the shift, which is as good as two rounds
 // permit.
-TEST(DemandEstimator, FollowsAShiftNearlyAsWellAsIfItHadStartedThen)
+TEST(DemandEstimator, FollowsAShiftNearlyAsWellAsANewEstimator)
 {
     double followed = 0;
     double restarted = 0;
--- a/coltsfootbend/group/group_state_test.cpp
+++ b/coltsfootbend/group/group_state_test.cpp
@@ -38,16 +38,16 @@
     all[rank]->armedStep = target.step;
 }
 
-TEST(GroupState, IsReadyWhenNothingIsUnderWay) { EXPECT_EQ(resolve(threeRanks()).kind, group_todo::Ready); }
+TEST(GroupState, IsReadyWithoutAChangeInProgress) { EXPECT_EQ(resolve(threeRanks()).kind, group_todo::Ready); }
 
-TEST(GroupState, WaitsForARankThatCannotBeAsked)
+TEST(GroupState, WaitsForARankThatDoesNotAnswer)
 {
     auto all = threeRanks();
     all[1].reset();
     EXPECT_EQ(resolve(all).kind, group_todo::Wait);
 }
 
-TEST(GroupState, WaitsWhileTheGroupIsNotWhole)
+TEST(GroupState, WaitsWhileTheGroupIsIncomplete)
 {
     auto all = threeRanks();
     all[2]->isOpen = false;
@@ -57,7 +57,7 @@
     EXPECT_EQ(resolve(all).kind, group_todo::Wait);
 }
 
-TEST(GroupState, OneArmedRankObligesAllToFollow)
+TEST(GroupState, OneArmedRankRequiresArmingAll)
 {
     auto all = threeRanks();
     prepareAll(all, 7);
@@ -102,7 +102,7 @@
     EXPECT_EQ(resolve(all).kind, group_todo::Arm);
 }
 
-TEST(GroupState, AHoldWithAMapPreparedEverywhereIsCarriedOn)
+TEST(GroupState, AHoldWithAMapPreparedOnAllRanksIsArmed)
 {
     auto all = threeRanks();
     prepareAll(all, 7);
@@ -122,7 +122,7 @@
     EXPECT_EQ(resolve(all).kind, group_todo::Release);
 }
 
-TEST(GroupState, ASwitchThatOneRankCannotMakeIsTakenBack)
+TEST(GroupState, ASwitchThatOneRankCannotMakeIsDisarmed)
 {
     auto all = threeRanks();
     prepareAll(all, 7);
@@ -135,9 +135,9 @@
 }
 
 // Rank 0 led in the first term and is stalled; the other ranks obey a newer leader.
-class frozen_leader_test : public testing::Test {
+class stalled_leader_test : public testing::Test {
 protected:
-    frozen_leader_test()
+    stalled_leader_test()
     {
         prepareAll(m_states, 6);
         for (auto& state : m_states) {
@@ -151,47 +151,47 @@
     states m_states = threeRanks();
 };
 
-TEST_F(frozen_leader_test, ItsHoldIsReleasedWhileNobodyIsArmed)
+TEST_F(stalled_leader_test, HoldIsReleasedWhileNoRankIsArmed)
 {
     const auto resolution = resolve(m_states);
     EXPECT_EQ(resolution.kind, group_todo::ReleaseWithoutLeader);
     EXPECT_EQ(resolution.heldStep, 110U);
 }
 
-TEST_F(frozen_leader_test, WhatSomeWereOrderedIsTakenBackFirst)
+TEST_F(stalled_leader_test, ArmedRanksAreDisarmedFirst)
 {
     armRank(m_states, 1, { 6, 110 });
     EXPECT_EQ(resolve(m_states).kind, group_todo::DisarmWithoutLeader);
 }
 
-TEST_F(frozen_leader_test, WithAllOthersArmedItMayBeArmedItself)
+TEST_F(stalled_leader_test, WaitsWithAllOtherRanksArmed)
 {
     armRank(m_states, 1, { 6, 110 });
     armRank(m_states, 2, { 6, 110 });
     EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
 }
 
-TEST_F(frozen_leader_test, AnOrderThatMayStillBeCarriedOutForbidsIt)
+TEST_F(stalled_leader_test, WaitsWhileAnArmOrderIsUncertain)
 {
     armRank(m_states, 1, { 6, 110 });
     m_states[1]->isArmUncertain = true;
     EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
 }
 
-TEST_F(frozen_leader_test, AnotherRankThanTheLeadersForbidsIt)
+TEST_F(stalled_leader_test, WaitsIfTheMissingRankIsNotTheLeader)
 {
     for (std::size_t rank : { 1U, 2U })
         m_states[rank]->preparedTerm = termAfter(0, 2);
     EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
 }
 
-TEST_F(frozen_leader_test, ARankWhoseMemoryIsGoneForbidsIt)
+TEST_F(stalled_leader_test, WaitsIfARankLostItsPreparedTerm)
 {
     m_states[2]->preparedTerm = 0;
     EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
 }
 
-TEST_F(frozen_leader_test, ARankThatStillObeysItForbidsIt)
+TEST_F(stalled_leader_test, WaitsWhileARankObeysTheStalledLeader)
 {
     m_states[2]->term = m_states[2]->preparedTerm;
     EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -268,7 +268,7 @@
 
 // Guards against a leader that exchanges all messages with every rank itself. With 129 ranks this occupies its link for
 // 1.5 s in each change, and no fitting map is in use within 4 s.
-TEST(LargeGroup, AMapThatFitsFollowsAShiftOfDemand)
+TEST(LargeGroup, UsesAFittingMapSoonAfterAShiftOfDemand)
 {
     for (const auto& [ranks, dataCentres] : { std::pair { 63U, 3U }, { 129U, 5U }, { 256U, 9U } }) {
         const auto figures = measureShift(ranks, dataCentres);
@@ -278,7 +278,7 @@
 }
 
 // Holds although the size of each message grows with the number of ranks, as changed rows and expert counts do.
-TEST(LargeGroup, WhatOneAgentSendsAndReceivesGrowsMoreSlowlyThanTheGroup)
+TEST(LargeGroup, TrafficOfOneAgentGrowsMoreSlowlyThanTheGroup)
 {
     const auto small = measureShift(64, 4);
     const auto large = measureShift(256, 4);
--- a/coltsfootbend/group/map_coordinator_test.cpp
+++ b/coltsfootbend/group/map_coordinator_test.cpp
@@ -28,7 +28,7 @@
     (void)change.handle(start, 1, map_loaded { epoch, newMap });
 }
 
-TEST(MapCoordinator, SwitchesBeyondEveryLimit)
+TEST(MapCoordinator, SwitchesAfterTheHighestPromisedLimit)
 {
     auto change = twoRanks();
     loadBoth(change);
@@ -44,7 +44,7 @@
     EXPECT_EQ(change.current(), map_coordinator::state::Done);
 }
 
-TEST(MapCoordinator, FinishesWhatOnlyOneRankKnowsToBeDecided)
+TEST(MapCoordinator, IncludesADecisionKnownToOnlyOneRank)
 {
     auto change = twoRanks();
     loadBoth(change);
@@ -57,7 +57,7 @@
     EXPECT_EQ(decision.schedule.segments, expected);
 }
 
-TEST(MapCoordinator, DropsWhatWasPlannedBeyondAllThatWasGranted)
+TEST(MapCoordinator, DropsSegmentsBeyondTheHighestLimit)
 {
     auto change = twoRanks();
     loadBoth(change);
@@ -68,7 +68,7 @@
     EXPECT_EQ(std::get<decide_switch>(orders[0].message).schedule.segments, expected);
 }
 
-TEST(MapCoordinator, GivesUpCleanlyWhileNothingIsDecided)
+TEST(MapCoordinator, AbandonsAnUndecidedChangeAtTheDeadline)
 {
     auto change = twoRanks();
     loadBoth(change);
@@ -80,7 +80,7 @@
     EXPECT_TRUE(change.handle(start + 10s, 1, promise(2, 50, {})).empty()) << "a late promise decides nothing";
 }
 
-TEST(MapCoordinator, BeginsAnewWithARankThatWasRestartedBeforeItPromised)
+TEST(MapCoordinator, PreparesARankAgainThatRestartedBeforeItsPromise)
 {
     auto change = twoRanks();
     loadBoth(change);
@@ -90,7 +90,7 @@
     EXPECT_TRUE(std::holds_alternative<prepare_map>(orders[0].message));
 }
 
-TEST(MapCoordinator, YieldsToAHigherEpoch)
+TEST(MapCoordinator, IsSupersededByAHigherEpoch)
 {
     auto change = twoRanks();
     loadBoth(change);
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -452,10 +452,10 @@
 // Runs each test with direct and with relayed orders.
 class map_leader_trial : public testing::TestWithParam<order_route> { };
 
-INSTANTIATE_TEST_SUITE_P(OrdersGo, map_leader_trial, testing::Values(order_route::Direct, order_route::Relayed),
-    [](const auto& route) { return route.param == order_route::Direct ? "Directly" : "ByWayOfOthers"; });
+INSTANTIATE_TEST_SUITE_P(OrderRoutes, map_leader_trial, testing::Values(order_route::Direct, order_route::Relayed),
+    [](const auto& route) { return route.param == order_route::Direct ? "Direct" : "Relayed"; });
 
-TEST_P(map_leader_trial, BringsBetterMapsIntoUseWhenNothingFails)
+TEST_P(map_leader_trial, SwitchesToBetterMapsWithoutFaults)
 {
     const auto outcome = runGroup(GetParam(), {}, false, testSeed(1), 2s);
     EXPECT_EQ(outcome.mixedPasses, 0);
@@ -463,7 +463,7 @@
     EXPECT_TRUE(outcome.isProgressing);
 }
 
-TEST_P(map_leader_trial, NeverMixesMapsWhenOrdersAreCarriedOutLate)
+TEST_P(map_leader_trial, NeverMixesMapsWhenOrdersTakeEffectLate)
 {
     const auto outcome = runGroup(GetParam(), { .lateShare = 0.35 }, false, testSeed(2), 5s);
     EXPECT_EQ(outcome.mixedPasses, 0);
@@ -471,14 +471,14 @@
     EXPECT_TRUE(outcome.isProgressing);
 }
 
-TEST_P(map_leader_trial, NeverMixesMapsWhenLeadersPauseAndMessagesAreLost)
+TEST_P(map_leader_trial, NeverMixesMapsWhenLeadersStallAndMessagesAreLost)
 {
     const auto outcome = runGroup(GetParam(), { .lateShare = 0.1, .lostShare = 0.05 }, true, testSeed(3), 6s);
     EXPECT_EQ(outcome.mixedPasses, 0);
     EXPECT_TRUE(outcome.isProgressing);
 }
 
-TEST_P(map_leader_trial, NeverMixesMapsWhenTheGroupIsFormedAnew)
+TEST_P(map_leader_trial, NeverMixesMapsWhenTheGroupFormsAnew)
 {
     const auto outcome
         = runGroup(GetParam(), { .lateShare = 0.2, .lostShare = 0.02, .epochLength = 700ms }, true, testSeed(4), 6s);
@@ -497,7 +497,7 @@
 // Guards against a map version prepared for one group being armed in another. When two groups form anew with equal
 // epoch numbers, a rank may be prepared with the version of the other group's leader while its own leader plans a
 // different one; if it is armed for that version, the next pass of its group begins with two maps.
-TEST_P(map_leader_trial, NeverMixesMapsOfTwoGroupsWhenOrdersAreCarriedOutLate)
+TEST_P(map_leader_trial, NeverMixesMapsOfTwoGroupsWhenOrdersTakeEffectLate)
 {
     const auto outcome
         = runTwoGroups(GetParam(), { .lateShare = 0.2, .lostShare = 0.02, .epochLength = 800ms }, testSeed(8), 8s);
@@ -507,7 +507,7 @@
 }
 
 // The leader's VM stalls while a pass is held and no rank is armed. The next leader must release the held pass.
-TEST_P(map_leader_trial, AGroupThatIsHeldByALeaderThatStandsStillGoesOn)
+TEST_P(map_leader_trial, ReleasesAPassHeldByAStalledLeader)
 {
     const auto held = [](const model_group& group) { return isHeldSomewhere(group) && armedRanks(group) == 0; };
     const auto outcome = runGroup(GetParam(), {}, false, testSeed(5), 9s, held);
@@ -519,7 +519,7 @@
 
 // Guards against a confirming query with a shorter timeout than a round of a large group needs. The query then always
 // fails, no process releases the held pass, and the group is stalled until the leader resumes (4.0 s with 129 ranks).
-TEST_P(map_leader_trial, AGroupWhoseRoundsTakeLongGoesOnWithoutALeaderThatStandsStill)
+TEST_P(map_leader_trial, ReleasesAPassHeldByAStalledLeaderWhenQueriesAreSlow)
 {
     // Stalls the leader as the hold begins. Later, orders to arm are under way, and once all other ranks are armed the
     // state of the leader's own rank cannot be inferred.
@@ -537,7 +537,7 @@
     EXPECT_TRUE(outcome.isProgressing);
 }
 
-TEST_P(map_leader_trial, AGroupWithSomeRanksArmedByALeaderThatStandsStillNeverMixesMaps)
+TEST_P(map_leader_trial, NeverMixesMapsWhenALeaderStallsWithSomeRanksArmed)
 {
     const auto someArmed = [](const model_group& group) {
         const int armed = armedRanks(group);
--- a/coltsfootbend/group/map_planner_test.cpp
+++ b/coltsfootbend/group/map_planner_test.cpp
@@ -38,7 +38,7 @@
 const std::vector<double> evenPaces(ranks, 1.0);
 const map_planner::options defaultOptions { .placesPerRank = 8, .newPerChange = 3, .gainPerMove = 0.01 };
 
-TEST(MapPlanner, OneChangeTakesMostOfTheSkewOfTheFirstMap)
+TEST(MapPlanner, OneChangeRemovesMostOfTheInitialSkew)
 {
     const auto demand = skewedDemand(4, 1);
     const auto plan = map_planner(defaultOptions).plan(initialMap(4), demand, evenPaces);
@@ -47,7 +47,7 @@
     EXPECT_NEAR(plan.skewAfter, map_planner::skewOf(plan.next, demand, evenPaces), 1e-9);
 }
 
-TEST(MapPlanner, AGoodMapIsLeftAlone)
+TEST(MapPlanner, ABalancedMapIsNotChanged)
 {
     const group_demand even(4, std::vector<double>(experts, 10.0));
     const auto plan = map_planner(defaultOptions).plan(initialMap(4), even, evenPaces);
@@ -55,7 +55,7 @@
     EXPECT_EQ(plan.next, initialMap(4));
 }
 
-TEST(MapPlanner, DearerMovesMakeFewer)
+TEST(MapPlanner, AHigherCostOfMovesReducesTheirNumber)
 {
     const auto demand = skewedDemand(4, 2);
     auto costly = defaultOptions;
@@ -64,7 +64,7 @@
         map_planner(defaultOptions).plan(initialMap(4), demand, evenPaces).moves);
 }
 
-TEST(MapPlanner, ASlowRankGetsLess)
+TEST(MapPlanner, ASlowRankReceivesLessLoad)
 {
     const auto demand = skewedDemand(1, 3);
     auto paces = evenPaces;
@@ -76,7 +76,7 @@
 
 // For any demand and any number of successive plans, a planned map is valid for the engines: it keeps every expert, and
 // respects the number of places and the limit of new experts.
-RC_GTEST_PROP(MapPlanner, EveryPlanIsAMapThatEnginesAccept, ())
+RC_GTEST_PROP(MapPlanner, EveryPlanIsAValidMap, ())
 {
     const auto places = *rc::gen::inRange<std::uint32_t>(6, 10);
     const auto spare = *rc::gen::inRange<std::uint32_t>(1, 5);
@@ -105,7 +105,7 @@
 
 // A shift of demand at full load: passes run under the worse map until the rank with the most copies has made all of
 // them, so the copies of one change are limited.
-TEST(MapPlanner, OneChangeBringsNoRankMoreCopiesThanItMayAndStillTakesMostOfTheSkew)
+TEST(MapPlanner, LimitsTheCopiesToEachRankAndStillRemovesMostOfTheSkew)
 {
     constexpr std::size_t sets = 4;
     auto limited = defaultOptions;
--- a/coltsfootbend/group/placement_test.cpp
+++ b/coltsfootbend/group/placement_test.cpp
@@ -26,7 +26,7 @@
     return true;
 }
 
-RC_GTEST_PROP(Placement, APlanKeepsEveryExpertAndItsWord, ())
+RC_GTEST_PROP(Placement, APlanKeepsEveryExpertAndMatchesItsFigures, ())
 {
     const auto ranks = *rc::gen::inRange<rank_number>(2, 12);
     const auto slots = *rc::gen::inRange<std::uint32_t>(1, 5);
@@ -51,7 +51,7 @@
     EXPECT_NEAR(plan.skewBefore, 1, 1e-9);
 }
 
-TEST(Placement, SpreadsAHotExpert)
+TEST(Placement, ReplicatesAHotExpert)
 {
     expert_load load(16, 0.5 / 15);
     load[3] = 0.5;
@@ -61,7 +61,7 @@
     EXPECT_LT(plan.skewAfter, 0.7 * plan.skewBefore);
 }
 
-TEST(Placement, ADearerMoveIsMadeLessOften)
+TEST(Placement, AHigherCostOfMovesReducesTheirNumber)
 {
     expert_load load;
     for (int i = 0; i < 32; ++i)
--- a/coltsfootbend/group/rebalancer_test.cpp
+++ b/coltsfootbend/group/rebalancer_test.cpp
@@ -34,7 +34,7 @@
     EXPECT_FALSE(balanced.decide(start + 6min)) << "nothing is left to gain";
 }
 
-TEST(Rebalancer, KeepsOutOfProtectedHoursUnlessTheLossPassesTheLimit)
+TEST(Rebalancer, MovesNothingInAProtectedWindowUnlessTheSkewExceedsTheLimit)
 {
     const std::vector<protected_window> windows { { start, start + 4h } };
     auto lenient = makeRebalancer();
@@ -49,7 +49,7 @@
     EXPECT_TRUE(strict.decide(start + 1h));
 }
 
-TEST(Rebalancer, OneOddReportMovesLittle)
+TEST(Rebalancer, OneOutlierReportChangesTheEstimateLittle)
 {
     auto steady = makeRebalancer();
     for (int i = 0; i < 10; ++i)
