--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -219,17 +219,17 @@
             large_group group(runtime, ranks, dataCentres);
             for (rank_number rank = 0; rank < ranks; ++rank)
                 group.agents.push_back(std::make_unique<large_agent>(group, rank));
-            std::vector<std::shared_ptr<rank_channel>> others;
+            std::vector<std::shared_ptr<rank_channel>> peers;
             for (rank_number rank = 1; rank < ranks; ++rank)
-                others.push_back(std::make_shared<link_channel>(group, 0, rank));
-            group.agents[0]->leader.setOthers(std::move(others));
+                peers.push_back(std::make_shared<link_channel>(group, 0, rank));
+            group.agents[0]->leader.setPeers(std::move(peers));
             bool isOver = false;
             int open = 2;
             const auto begunAt = clock_type::now();
             runtime.spawn([&] {
                 const auto term = group.agents[0]->participant.claim(0);
                 while (!isOver)
-                    runtime.sleepFor(std::max<duration>(group.agents[0]->leader.lead(term), 1ms));
+                    runtime.sleepFor(std::max<duration>(group.agents[0]->leader.runRound(term), 1ms));
                 --open;
             });
             runtime.spawn([&] {
--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -222,7 +222,7 @@
 
 map_leader::states_by_rank map_leader::collectStates(duration timeout)
 {
-    m_isComplete = false;
+    m_allRanksAnswered = false;
     wire::rank_query query { .scope = { .term = m_term, .group = m_participant.group(), .epoch = m_epoch },
         .wantsDemand = true,
         .wantsMap = m_requestsMap };
@@ -234,8 +234,8 @@
     m_ownRank = ownState->rank;
     states_by_rank states(ownState->ranks);
     states[ownState->rank] = *ownState;
-    std::vector<addressee> to; // A copy: `m_others` may be replaced while this fiber is blocked.
-    for (const auto& channel : m_others)
+    std::vector<addressee> to; // A copy: `m_peers` may be replaced while this fiber is blocked.
+    for (const auto& channel : m_peers)
         to.push_back({ .channel = channel });
     selectDemandSources(to);
     auto carried = sendToAll(query, to, timeout);
@@ -253,7 +253,7 @@
     m_members.clear();
     for (auto& [distance, member] : membersByDistance)
         m_members.push_back(std::move(member));
-    m_isComplete = m_members.size() + 1 == states.size();
+    m_allRanksAnswered = m_members.size() + 1 == states.size();
     return states;
 }
 
@@ -263,7 +263,7 @@
     return !isDeposed() && !states.empty() && resolve(states) == seen;
 }
 
-duration map_leader::lead(leader_term term)
+duration map_leader::runRound(leader_term term)
 {
     m_term = term;
     const auto states = collectStates(m_options.queryLimit);
@@ -562,7 +562,7 @@
     };
     const auto begunAt = clock_type::now();
     const auto answers = orderMembers(arm, m_options.armLimit);
-    const bool allArmed = m_isComplete && std::all_of(answers.begin(), answers.end(), isArmed);
+    const bool allArmed = m_allRanksAnswered && std::all_of(answers.begin(), answers.end(), isArmed);
     if (!allArmed || isDeposed()) {
         recordArmingTime(clock_type::now() - begunAt);
         logEvent(log_event::MapChangeFailed, "step=arm " + describe(target));
--- a/coltsfootbend/group/map_leader.h
+++ b/coltsfootbend/group/map_leader.h
@@ -6,7 +6,7 @@
 // both complete one. Blocks the calling fiber. Not for a rank's own part in a change: see `group/map_participant.h`.
 //
 //     while (participant.term() == term)
-//         runtime.sleepFor(leader.lead(term));
+//         runtime.sleepFor(leader.runRound(term));
 
 #include "coltsfootbend/group/demand_estimator.h"
 #include "coltsfootbend/group/group_state.h"
@@ -57,13 +57,13 @@
 
     // Sets the channels to the other ranks of the group. Ranks of other groups may be included: they are queried but
     // receive no orders. Takes effect at the next round.
-    void setOthers(std::vector<std::shared_ptr<rank_channel>> others) { m_others = std::move(others); }
+    void setPeers(std::vector<std::shared_ptr<rank_channel>> peers) { m_peers = std::move(peers); }
 
     // Runs one round as leader with `term`. Returns the delay until the next round is due.
-    duration lead(leader_term term);
+    duration runRound(leader_term term);
 
     // Returns whether all ranks of the group answered the last round.
-    bool isComplete() const { return m_isComplete; }
+    bool allRanksAnswered() const { return m_allRanksAnswered; }
 
 private:
     // Another rank that reported the leader's own formation in this round.
@@ -141,12 +141,12 @@
     const options m_options;
     const map_planner m_planner;
     std::minstd_rand m_random;
-    std::vector<std::shared_ptr<rank_channel>> m_others;
+    std::vector<std::shared_ptr<rank_channel>> m_peers;
     // Reached ranks of the own formation, in cyclic order from the rank after the own one, and the index of the one
     // that holds passes.
     std::vector<member> m_members;
     std::size_t m_holderIndex = 0;
-    bool m_isComplete = false;
+    bool m_allRanksAnswered = false;
     demand_estimator m_demand;
     std::vector<std::uint32_t> m_relayedDemand; // Expert counts of the last round, summed by the relaying ranks.
     leader_term m_term = 0;
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -247,13 +247,12 @@
 void connectAll(fiber_runtime& runtime, model_group& group, const trial_faults& faults, const model_agents& agents)
 {
     for (const auto& agent : agents) {
-        std::vector<std::shared_ptr<rank_channel>> others;
+        std::vector<std::shared_ptr<rank_channel>> peers;
         for (std::size_t place = 0; place < agents.size(); ++place) {
             if (agents[place] != agent)
-                others.push_back(
-                    std::make_shared<model_channel>(runtime, group, faults, *agent, *agents[place], place));
+                peers.push_back(std::make_shared<model_channel>(runtime, group, faults, *agent, *agents[place], place));
         }
-        agent->leader->setOthers(std::move(others));
+        agent->leader->setPeers(std::move(peers));
     }
 }
 
@@ -335,7 +334,7 @@
         const auto leaderTimeout = agent.queryLimit + 50ms + rank * 60ms;
         const auto term = agent.participant->term();
         if (term != 0 && leaderOf(term) == rank)
-            runtime.sleepFor(std::max<duration>(agent.leader->lead(term), 1ms));
+            runtime.sleepFor(std::max<duration>(agent.leader->runRound(term), 1ms));
         else if (clock_type::now() > agent.participant->heardAt() + leaderTimeout)
             (void)agent.participant->claim(rank);
         else
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -240,7 +240,7 @@
     const auto rank = m_group->rank;
     if (m_participant.term() != 0 && leaderOf(m_participant.term()) == rank) {
         updateOthers();
-        return lead->lead(m_participant.term());
+        return lead->runRound(m_participant.term());
     }
     if (m_participant.heardAt() == time_point {})
         m_participant.yield(0); // Silence counts from the start.
@@ -332,10 +332,10 @@
         const auto dataCentre
             = dataCentres.emplace(server.dataCentre, static_cast<std::uint32_t>(dataCentres.size())).first->second;
         channel->setDataCentre(dataCentre);
-        if (channel->mayBelongTo(m_group->name, m_leader->isComplete(), clock_type::now()))
+        if (channel->mayBelongTo(m_group->name, m_leader->allRanksAnswered(), clock_type::now()))
             others.push_back(channel);
     }
-    m_leader->setOthers(std::move(others));
+    m_leader->setPeers(std::move(others));
 }
 
 void rank_service::stop()
