--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -157,8 +157,8 @@
 
 carried_order map_leader::sendToAll(const wire::rank_order& order, const std::vector<addressee>& to, duration timeout)
 {
-    auto carried = m_carrier.carry(
-        order, to, clock_type::now() + timeout, { .every = m_options.beatEvery, .beat = [this] { sendHeartbeat(); } });
+    auto carried = m_carrier.carry(order, to, clock_type::now() + timeout,
+        { .every = m_options.heartbeatInterval, .beat = [this] { sendHeartbeat(); } });
     for (const auto& state : carried.states) {
         if (state && state->group == m_group)
             yieldToHigherTerm(*state);
@@ -199,7 +199,7 @@
 
 void map_leader::sendHeartbeat()
 {
-    const auto deadline = clock_type::now() + m_options.queryLimit;
+    const auto deadline = clock_type::now() + m_options.queryTimeout;
     const wire::rank_query query { .scope = { .term = m_term, .group = m_group, .epoch = m_epoch } };
     // The answers are not needed: a newer leader's term also arrives with the answers to the step itself.
     m_runtime.spawn([&carrier = m_carrier, query, to = addresseesOf(m_members), deadline] {
@@ -215,7 +215,7 @@
     for (std::size_t index = 0; index < to.size(); ++index)
         candidates.emplace_back(to[index].channel->relayTarget().dataCentre != 0, index);
     std::sort(candidates.begin(), candidates.end());
-    candidates.resize(std::min<std::size_t>(candidates.size(), m_options.demandSources));
+    candidates.resize(std::min<std::size_t>(candidates.size(), m_options.maxDemandSources));
     for (const auto& [isRemote, index] : candidates)
         to[index].tellsDemand = true;
 }
@@ -259,14 +259,14 @@
 
 bool map_leader::isConfirmed(const group_resolution& seen)
 {
-    const auto states = collectStates(m_options.queryLimit);
+    const auto states = collectStates(m_options.queryTimeout);
     return !isDeposed() && !states.empty() && resolve(states) == seen;
 }
 
 duration map_leader::runRound(leader_term term)
 {
     m_term = term;
-    const auto states = collectStates(m_options.queryLimit);
+    const auto states = collectStates(m_options.queryTimeout);
     if (isDeposed() || states.empty())
         return waitInterval;
     updateEstimates(states);
@@ -396,16 +396,16 @@
         }
     }
     if (!m_demand.isKnown())
-        return m_options.cycle;
+        return m_options.roundInterval;
     std::vector<double> paces;
     for (const auto& state : states)
         paces.push_back(std::max(1.0, state->pace));
     const double factor = idleGainFactor(states);
     const auto plan = m_planner.plan(*m_map, m_demand.demand(), paces, m_options.planner.gainPerMove * factor);
     if (plan.gain() < m_options.minGain * factor)
-        return m_options.cycle;
+        return m_options.roundInterval;
     executeChange(states, plan);
-    return std::min<duration>(m_options.cycle, waitInterval);
+    return std::min<duration>(m_options.roundInterval, waitInterval);
 }
 
 double map_leader::idleGainFactor(const states_by_rank& states) const
@@ -459,7 +459,7 @@
     prepare.version = version;
     prepare.baseVersion = m_mapVersion;
     prepare.changes = changedRows(*m_map, map);
-    auto answers = orderAll(prepare, m_members, m_options.prepareLimit);
+    auto answers = orderAll(prepare, m_members, m_options.prepareTimeout);
     std::vector<member> ranksWithoutBase;
     for (std::size_t i = 1; i < answers.size(); ++i) {
         if (answers[i] && answers[i]->lacksBase)
@@ -469,7 +469,7 @@
     if (isBaseMissing && !isDeposed()) {
         prepare.changes.clear();
         prepare.map = map;
-        replaceEarlier(answers, orderAll(prepare, ranksWithoutBase, m_options.prepareLimit));
+        replaceEarlier(answers, orderAll(prepare, ranksWithoutBase, m_options.prepareTimeout));
     }
     pass_number step = 0;
     for (const auto& answer : answers) {
@@ -497,7 +497,7 @@
 {
     constexpr int marginPercent = 140;
     const auto expected
-        = std::clamp(m_armingTime * marginPercent / 100, m_options.leastArmingTime, m_options.mostArmingTime);
+        = std::clamp(m_armingTime * marginPercent / 100, m_options.minArmingTime, m_options.maxArmingTime);
     const auto passes = static_cast<pass_number>(std::ceil(toMilliseconds(expected) / m_passMilliseconds));
     return std::clamp(passes, minPassesAhead, maxPassesAhead);
 }
@@ -561,7 +561,7 @@
                 || (state->armedVersion == target.version && state->armedStep == target.step));
     };
     const auto begunAt = clock_type::now();
-    const auto answers = orderMembers(arm, m_options.armLimit);
+    const auto answers = orderMembers(arm, m_options.armTimeout);
     const bool allArmed = m_allRanksAnswered && std::all_of(answers.begin(), answers.end(), isArmed);
     if (!allArmed || isDeposed()) {
         recordArmingTime(clock_type::now() - begunAt);
@@ -569,14 +569,14 @@
         return false;
     }
     arm.scope = nextOrderScope();
-    const bool isOwnArmed = isArmed(m_participant.answer(arm, clock_type::now() + m_options.armLimit));
+    const bool isOwnArmed = isArmed(m_participant.answer(arm, clock_type::now() + m_options.armTimeout));
     recordArmingTime(clock_type::now() - begunAt);
     return isOwnArmed && !isDeposed();
 }
 
 void map_leader::disarmAll(engine_map_version version)
 {
-    (void)orderAll(wire::rank_disarm { .scope = {}, .version = version }, m_members, m_options.armLimit);
+    (void)orderAll(wire::rank_disarm { .scope = {}, .version = version }, m_members, m_options.armTimeout);
 }
 
 // Asks only the holder first: an order to all ranks takes a round trip through the whole group, during which passes may
--- a/coltsfootbend/group/map_leader.h
+++ b/coltsfootbend/group/map_leader.h
@@ -30,25 +30,25 @@
         std::uint32_t experts = 0;
         // Maximum number of other ranks whose expert counts are requested: enough to estimate demand, few enough not to
         // load the links.
-        std::uint32_t demandSources = 16;
+        std::uint32_t maxDemandSources = 16;
         // Requests that one rank runs concurrently.
         std::uint32_t slots = 1;
         // Interval between two rounds that collect expert counts.
-        duration cycle = std::chrono::milliseconds(200);
+        duration roundInterval = std::chrono::milliseconds(200);
         // Minimum reduction of the mean skew for which a change is made.
         double minGain = 0.06;
         // Interval of the heartbeats by which the ranks know during a long step that the leader is alive.
-        duration beatEvery = std::chrono::milliseconds(400);
+        duration heartbeatInterval = std::chrono::milliseconds(400);
         // Timeout of a query to all ranks.
-        duration queryLimit = std::chrono::milliseconds(300);
+        duration queryTimeout = std::chrono::milliseconds(300);
         // Timeout of preparing a map on all ranks, which includes copying experts.
-        duration prepareLimit = std::chrono::milliseconds(2500);
+        duration prepareTimeout = std::chrono::milliseconds(2500);
         // Timeout of an arm or disarm order to all ranks.
-        duration armLimit = std::chrono::milliseconds(800);
+        duration armTimeout = std::chrono::milliseconds(800);
         // Bounds of the expected arming time. The pass of a switch is chosen far enough ahead that all ranks are armed
         // before it and no pass has to wait; the distance follows the recently observed arming times.
-        duration leastArmingTime = std::chrono::milliseconds(80);
-        duration mostArmingTime = std::chrono::milliseconds(900);
+        duration minArmingTime = std::chrono::milliseconds(80);
+        duration maxArmingTime = std::chrono::milliseconds(900);
     };
 
     // `carrier` sends orders to many ranks at once; it must outlive the leader.
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -25,7 +25,7 @@
     double lostShare = 0; // Share of the messages between agents that are lost.
     duration epochLength = std::chrono::hours(1); // Time after which a rank crashes and the group forms anew.
     duration messageLatency = 1ms; // Latency of a message between two agents.
-    duration queryLimit = 100ms; // Timeout of a query to the whole group.
+    duration queryTimeout = 100ms; // Timeout of a query to the whole group.
 };
 
 // An engine as seen by the agent on the same VM: calls block while the VM is stalled.
@@ -116,7 +116,7 @@
 struct model_agent {
     model_agent(fiber_runtime& runtime, model_group& group, rank_number number, unsigned seed,
         const trial_faults& faults, const model_agents& agents, order_route route)
-        : queryLimit(faults.queryLimit)
+        : queryTimeout(faults.queryTimeout)
         , rank(number)
         , engine(runtime, group, number, stalledUntil)
         , participant(std::make_unique<map_participant>(runtime, engine))
@@ -130,16 +130,16 @@
               map_leader::options { .planner = { .placesPerRank = 6, .newPerChange = 2, .gainPerMove = 0.001 },
                   .sets = sets,
                   .experts = experts,
-                  .cycle = 30ms,
+                  .roundInterval = 30ms,
                   .minGain = 0.02,
-                  .queryLimit = faults.queryLimit,
-                  .leastArmingTime = 20ms },
+                  .queryTimeout = faults.queryTimeout,
+                  .minArmingTime = 20ms },
               seed))
     {
     }
 
     time_point stalledUntil {}; // The agent's VM is stalled until then.
-    const duration queryLimit;
+    const duration queryTimeout;
     rank_number rank;
     stallable_engine engine;
     std::unique_ptr<map_participant> participant;
@@ -331,7 +331,7 @@
             agent.stalledUntil = clock_type::now() + 350ms;
         const auto rank = agent.engine.model().rank();
         // Longer than a query, since a leader may be waiting for an answer.
-        const auto leaderTimeout = agent.queryLimit + 50ms + rank * 60ms;
+        const auto leaderTimeout = agent.queryTimeout + 50ms + rank * 60ms;
         const auto term = agent.participant->term();
         if (term != 0 && leaderOf(term) == rank)
             runtime.sleepFor(std::max<duration>(agent.leader->runRound(term), 1ms));
@@ -529,7 +529,7 @@
         return isStart;
     };
     const auto outcome
-        = runGroup(GetParam(), { .messageLatency = 60ms, .queryLimit = 300ms }, false, testSeed(9), 12s, held);
+        = runGroup(GetParam(), { .messageLatency = 60ms, .queryTimeout = 300ms }, false, testSeed(9), 12s, held);
     EXPECT_GE(outcome.stalls, 2);
     EXPECT_EQ(outcome.mixedPasses, 0);
     EXPECT_LT(toMilliseconds(outcome.longestGap), 2000);
