--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -151,7 +151,7 @@
         , carrier(group.runtime, relay)
         , leader(group.runtime, participant, carrier,
               map_leader::options {
-                  .planner = { .placesPerRank = 3, .newPerChange = 1, .gainPerMove = 0.0005 },
+                  .planner = { .placesPerRank = 3, .maxNewExpertsPerSet = 1, .gainPerMove = 0.0005 },
                   .sets = sets,
                   .experts = group.engines.ranks() * expertsPerRank,
               },
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -127,7 +127,7 @@
         , relayed(runtime, relay)
         , leader(std::make_unique<map_leader>(runtime, *participant,
               route == order_route::Direct ? static_cast<order_carrier&>(direct) : relayed,
-              map_leader::options { .planner = { .placesPerRank = 6, .newPerChange = 2, .gainPerMove = 0.001 },
+              map_leader::options { .planner = { .placesPerRank = 6, .maxNewExpertsPerSet = 2, .gainPerMove = 0.001 },
                   .sets = sets,
                   .experts = experts,
                   .roundInterval = 30ms,
--- a/coltsfootbend/group/map_planner.cpp
+++ b/coltsfootbend/group/map_planner.cpp
@@ -100,8 +100,8 @@
     {
         if (holds(rank, which))
             return false;
-        const auto most = m_remainingCopies.empty() ? m_options.newPerChange
-                                                    : std::min(m_options.newPerChange, m_remainingCopies[rank]);
+        const auto most = m_remainingCopies.empty() ? m_options.maxNewExpertsPerSet
+                                                    : std::min(m_options.maxNewExpertsPerSet, m_remainingCopies[rank]);
         return heldOriginally(rank, which) || m_newExperts[rank] < most;
     }
 
@@ -254,7 +254,7 @@
     const group_map& current, const group_demand& demand, const std::vector<double>& paces, double gainPerMove) const
 {
     map_plan plan { .next = current, .moves = 0, .skewBefore = 0, .skewAfter = 0 };
-    std::vector<std::uint32_t> remainingCopies(paces.size(), m_options.copiesPerRank);
+    std::vector<std::uint32_t> remainingCopies(paces.size(), m_options.maxCopiesPerRank);
     for (const auto set : setsByDescendingSkew(current, demand, paces)) {
         set_planner working(current[set], demand[set], paces, m_options, remainingCopies);
         const double before = working.skew();
--- a/coltsfootbend/group/map_planner.h
+++ b/coltsfootbend/group/map_planner.h
@@ -5,7 +5,7 @@
 // these excess loads; copying an expert has a cost too. Starts from the map in use and respects the limits on what one
 // change may copy to a rank. Deterministic. Not for agreeing on a map: see `group/map_leader.h`.
 //
-//     map_planner planner({ .placesPerRank = 8, .newPerChange = 3 });
+//     map_planner planner({ .placesPerRank = 8, .maxNewExpertsPerSet = 3 });
 //     auto plan = planner.plan(current, demand, paces);
 //     if (plan.gain() > 0.05) ...
 
@@ -38,11 +38,11 @@
         // Maximum number of experts of one set on a rank.
         std::uint32_t placesPerRank = 1;
         // Maximum number of experts of one set that one change may copy to a rank.
-        std::uint32_t newPerChange = 1;
+        std::uint32_t maxNewExpertsPerSet = 1;
         // Maximum number of experts of all sets that one change may copy to a rank. A change is prepared only once the
         // rank with the most copies has made all of them, and until then passes run under the worse map. Moves beyond
         // the limit are left to the following changes.
-        std::uint32_t copiesPerRank = std::numeric_limits<std::uint32_t>::max();
+        std::uint32_t maxCopiesPerRank = std::numeric_limits<std::uint32_t>::max();
         // Minimum reduction of a set's skew for each copied expert. A larger value makes fewer copies.
         double gainPerMove = 0.01;
         // Number of least loaded ranks that are considered as targets of a move.
--- a/coltsfootbend/group/map_planner_test.cpp
+++ b/coltsfootbend/group/map_planner_test.cpp
@@ -36,7 +36,7 @@
 }
 
 const std::vector<double> evenPaces(ranks, 1.0);
-const map_planner::options defaultOptions { .placesPerRank = 8, .newPerChange = 3, .gainPerMove = 0.01 };
+const map_planner::options defaultOptions { .placesPerRank = 8, .maxNewExpertsPerSet = 3, .gainPerMove = 0.01 };
 
 TEST(MapPlanner, OneChangeRemovesMostOfTheInitialSkew)
 {
@@ -80,7 +80,7 @@
 {
     const auto places = *rc::gen::inRange<std::uint32_t>(6, 10);
     const auto spare = *rc::gen::inRange<std::uint32_t>(1, 5);
-    const map_planner planner({ .placesPerRank = places, .newPerChange = spare, .gainPerMove = 0.001 });
+    const map_planner planner({ .placesPerRank = places, .maxNewExpertsPerSet = spare, .gainPerMove = 0.001 });
     auto map = initialMap(2);
     const auto changes = *rc::gen::inRange(1, 4);
     for (int change = 0; change < changes; ++change) {
@@ -109,7 +109,7 @@
 {
     constexpr std::size_t sets = 4;
     auto limited = defaultOptions;
-    limited.copiesPerRank = 3;
+    limited.maxCopiesPerRank = 3;
     const auto map = initialMap(sets);
     const auto demand = skewedDemand(sets, 5);
     const auto whole = map_planner(defaultOptions).plan(map, demand, evenPaces);
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -285,8 +285,8 @@
         return nullptr;
     m_leader = std::make_unique<map_leader>(m_runtime, m_participant, *m_carrier,
         map_leader::options { .planner = { .placesPerRank = engine->placesPerRank,
-                                  .newPerChange = engine->newPerChange,
-                                  .copiesPerRank = copiesPerRank(*engine),
+                                  .maxNewExpertsPerSet = engine->newPerChange,
+                                  .maxCopiesPerRank = copiesPerRank(*engine),
                                   .gainPerMove = gainPerMove(*engine) },
             .sets = engine->expertSets,
             .experts = engine->experts,
