--- a/coltsfootbend/group/group_state.cpp
+++ b/coltsfootbend/group/group_state.cpp
@@ -12,7 +12,7 @@
 
 group_resolution waitFor(const char* reason)
 {
-    return { .kind = group_todo::Wait, .target = {}, .heldBy = {}, .heldStep = 0, .reason = reason };
+    return { .kind = group_action::Wait, .target = {}, .heldBy = {}, .heldStep = 0, .reason = reason };
 }
 
 bool isArmedFor(const wire::rank_state& state, const armed_switch& target)
@@ -84,7 +84,7 @@
     if (static_cast<std::size_t>(armed) == reported.size())
         return waitFor("the previous leader may have armed its own rank");
     resolution.target = { first.preparedVersion, resolution.heldStep };
-    resolution.kind = armed > 0 ? group_todo::DisarmWithoutLeader : group_todo::ReleaseWithoutLeader;
+    resolution.kind = armed > 0 ? group_action::DisarmWithoutLeader : group_action::ReleaseWithoutLeader;
     return resolution;
 }
 
@@ -117,9 +117,9 @@
         const bool allArmed = std::all_of(
             reported.begin(), reported.end(), [&](const auto* state) { return isArmedFor(*state, *armed); });
         if (!allArmed)
-            resolution.kind = needsDisarm(reported, *armed) ? group_todo::Disarm : group_todo::Arm;
+            resolution.kind = needsDisarm(reported, *armed) ? group_action::Disarm : group_action::Arm;
         else if (resolution.heldStep != 0)
-            resolution.kind = group_todo::Release;
+            resolution.kind = group_action::Release;
         else
             return waitFor("all ranks are armed for a pass that has not begun");
         return resolution;
@@ -128,7 +128,7 @@
         // The process that held the pass may have ordered a switch that no report shows yet. It orders a switch only
         // after the same version is prepared on every rank.
         const auto version = reported.front()->preparedVersion;
-        resolution.kind = allPrepared(reported, version) ? group_todo::Arm : group_todo::Release;
+        resolution.kind = allPrepared(reported, version) ? group_action::Arm : group_action::Release;
         resolution.target = { version, resolution.heldStep };
         return resolution;
     }
@@ -136,7 +136,7 @@
         if (state->mapVersion != reported.front()->mapVersion)
             return waitFor("the ranks answered during a switch");
     }
-    resolution.kind = group_todo::Ready;
+    resolution.kind = group_action::Ready;
     return resolution;
 }
 
--- a/coltsfootbend/group/group_state.h
+++ b/coltsfootbend/group/group_state.h
@@ -6,7 +6,7 @@
 // Deterministic.
 //
 //     const auto resolution = resolve(states);
-//     if (resolution.kind == group_todo::Ready) planNextMap();
+//     if (resolution.kind == group_action::Ready) planNextMap();
 
 #include "coltsfootbend/group/rank_engine.h"
 #include "coltsfootbend/wire/messages.h"
@@ -17,7 +17,7 @@
 namespace coltsfootbend {
 
 // Next action of the leader.
-enum class group_todo {
+enum class group_action {
     Ready, // All ranks use the same map and no change is in progress.
     Wait, // A rank is missing, the group is incomplete, or all ranks are armed for a pass that has yet to begin.
     Arm, // Arm every rank for `target`, then release its pass.
@@ -31,7 +31,7 @@
 
 // The next action and its arguments.
 struct group_resolution {
-    group_todo kind = group_todo::Wait;
+    group_action kind = group_action::Wait;
     armed_switch target {}; // Switch to arm or disarm; the prepared switch for `ReleaseWithoutLeader`.
     std::vector<rank_number> heldBy; // Ranks that hold `heldStep`, for `Release` and after `Arm`.
     pass_number heldStep = 0; // Earliest held pass; 0 if no pass is held.
--- a/coltsfootbend/group/group_state_test.cpp
+++ b/coltsfootbend/group/group_state_test.cpp
@@ -38,23 +38,23 @@
     all[rank]->armedStep = target.step;
 }
 
-TEST(GroupState, IsReadyWithoutAChangeInProgress) { EXPECT_EQ(resolve(threeRanks()).kind, group_todo::Ready); }
+TEST(GroupState, IsReadyWithoutAChangeInProgress) { EXPECT_EQ(resolve(threeRanks()).kind, group_action::Ready); }
 
 TEST(GroupState, WaitsForARankThatDoesNotAnswer)
 {
     auto all = threeRanks();
     all[1].reset();
-    EXPECT_EQ(resolve(all).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(all).kind, group_action::Wait);
 }
 
 TEST(GroupState, WaitsWhileTheGroupIsIncomplete)
 {
     auto all = threeRanks();
     all[2]->isOpen = false;
-    EXPECT_EQ(resolve(all).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(all).kind, group_action::Wait);
     all = threeRanks();
     all[2]->epoch = 3;
-    EXPECT_EQ(resolve(all).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(all).kind, group_action::Wait);
 }
 
 TEST(GroupState, OneArmedRankRequiresArmingAll)
@@ -64,7 +64,7 @@
     armRank(all, 1, { 7, 110 });
     all[0]->heldStep = 110;
     const auto resolution = resolve(all);
-    EXPECT_EQ(resolution.kind, group_todo::Arm);
+    EXPECT_EQ(resolution.kind, group_action::Arm);
     EXPECT_EQ(resolution.target.version, 7U);
     EXPECT_EQ(resolution.target.step, 110U);
 }
@@ -75,7 +75,7 @@
     prepareAll(all, 7);
     armRank(all, 1, { 7, 110 });
     all[1]->isArmUncertain = true;
-    EXPECT_EQ(resolve(all).kind, group_todo::Arm);
+    EXPECT_EQ(resolve(all).kind, group_action::Arm);
 }
 
 TEST(GroupState, IsReleasedOnceAllAreArmed)
@@ -85,9 +85,9 @@
     for (std::size_t rank = 0; rank < 3; ++rank)
         armRank(all, rank, { 7, 110 });
     all[0]->heldStep = 110;
-    EXPECT_EQ(resolve(all).kind, group_todo::Release);
+    EXPECT_EQ(resolve(all).kind, group_action::Release);
     all[0]->heldStep = 0;
-    EXPECT_EQ(resolve(all).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(all).kind, group_action::Wait);
 }
 
 // One rank's arm order was not answered. If the pass were released, that rank could continue with the earlier map.
@@ -99,7 +99,7 @@
         armRank(all, rank, { 7, 110 });
     all[0]->heldStep = 110;
     all[0]->isArmUncertain = true;
-    EXPECT_EQ(resolve(all).kind, group_todo::Arm);
+    EXPECT_EQ(resolve(all).kind, group_action::Arm);
 }
 
 TEST(GroupState, AHoldWithAMapPreparedOnAllRanksIsArmed)
@@ -108,7 +108,7 @@
     prepareAll(all, 7);
     all[2]->heldStep = 110;
     const auto resolution = resolve(all);
-    EXPECT_EQ(resolution.kind, group_todo::Arm);
+    EXPECT_EQ(resolution.kind, group_action::Arm);
     EXPECT_EQ(resolution.target.version, 7U);
     EXPECT_EQ(resolution.target.step, 110U);
 }
@@ -117,9 +117,9 @@
 {
     auto all = threeRanks();
     all[2]->heldStep = 110;
-    EXPECT_EQ(resolve(all).kind, group_todo::Release);
+    EXPECT_EQ(resolve(all).kind, group_action::Release);
     all[0]->preparedVersion = 7;
-    EXPECT_EQ(resolve(all).kind, group_todo::Release);
+    EXPECT_EQ(resolve(all).kind, group_action::Release);
 }
 
 TEST(GroupState, ASwitchThatOneRankCannotMakeIsDisarmed)
@@ -129,9 +129,9 @@
     armRank(all, 1, { 7, 110 });
     all[0]->heldStep = 110;
     all[2]->preparedVersion = 9;
-    EXPECT_EQ(resolve(all).kind, group_todo::Disarm);
+    EXPECT_EQ(resolve(all).kind, group_action::Disarm);
     all[1]->isArmUncertain = true;
-    EXPECT_EQ(resolve(all).kind, group_todo::Arm);
+    EXPECT_EQ(resolve(all).kind, group_action::Arm);
 }
 
 // Rank 0 led in the first term and is stalled; the other ranks obey a newer leader.
@@ -154,47 +154,47 @@
 TEST_F(stalled_leader_test, HoldIsReleasedWhileNoRankIsArmed)
 {
     const auto resolution = resolve(m_states);
-    EXPECT_EQ(resolution.kind, group_todo::ReleaseWithoutLeader);
+    EXPECT_EQ(resolution.kind, group_action::ReleaseWithoutLeader);
     EXPECT_EQ(resolution.heldStep, 110U);
 }
 
 TEST_F(stalled_leader_test, ArmedRanksAreDisarmedFirst)
 {
     armRank(m_states, 1, { 6, 110 });
-    EXPECT_EQ(resolve(m_states).kind, group_todo::DisarmWithoutLeader);
+    EXPECT_EQ(resolve(m_states).kind, group_action::DisarmWithoutLeader);
 }
 
 TEST_F(stalled_leader_test, WaitsWithAllOtherRanksArmed)
 {
     armRank(m_states, 1, { 6, 110 });
     armRank(m_states, 2, { 6, 110 });
-    EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(m_states).kind, group_action::Wait);
 }
 
 TEST_F(stalled_leader_test, WaitsWhileAnArmOrderIsUncertain)
 {
     armRank(m_states, 1, { 6, 110 });
     m_states[1]->isArmUncertain = true;
-    EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(m_states).kind, group_action::Wait);
 }
 
 TEST_F(stalled_leader_test, WaitsIfTheMissingRankIsNotTheLeader)
 {
     for (std::size_t rank : { 1U, 2U })
         m_states[rank]->preparedTerm = termAfter(0, 2);
-    EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(m_states).kind, group_action::Wait);
 }
 
 TEST_F(stalled_leader_test, WaitsIfARankLostItsPreparedTerm)
 {
     m_states[2]->preparedTerm = 0;
-    EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(m_states).kind, group_action::Wait);
 }
 
 TEST_F(stalled_leader_test, WaitsWhileARankObeysTheStalledLeader)
 {
     m_states[2]->term = m_states[2]->preparedTerm;
-    EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(m_states).kind, group_action::Wait);
 }
 
 } // namespace
--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -273,35 +273,35 @@
     const auto resolution = resolve(states);
     logWaitReason(resolution, states);
     switch (resolution.kind) {
-    case group_todo::Wait:
+    case group_action::Wait:
         return waitInterval;
-    case group_todo::Arm:
+    case group_action::Arm:
         logEvent(log_event::MapChangeStep, "finish=arm " + describe(resolution.target));
         if (armAll(resolution.target))
             releaseAll(resolution.target.step);
         return duration::zero();
-    case group_todo::Disarm:
+    case group_action::Disarm:
         logEvent(log_event::MapChangeFailed, "finish=disarm " + describe(resolution.target));
         disarmAll(resolution.target.version);
         return duration::zero();
-    case group_todo::Release:
+    case group_action::Release:
         logEvent(log_event::MapChangeStep, "finish=release step=" + std::to_string(resolution.heldStep));
         releaseAll(resolution.heldStep);
         return duration::zero();
-    case group_todo::DisarmWithoutLeader:
+    case group_action::DisarmWithoutLeader:
         if (isConfirmed(resolution)) {
             logEvent(log_event::MapChangeFailed, "finish=disarm_without_leader " + describe(resolution.target));
             disarmAll(resolution.target.version);
         }
         return duration::zero();
-    case group_todo::ReleaseWithoutLeader:
+    case group_action::ReleaseWithoutLeader:
         if (isConfirmed(resolution)) {
             logEvent(log_event::MapChangeFailed,
                 "finish=release_without_leader step=" + std::to_string(resolution.heldStep));
             releaseAll(resolution.heldStep);
         }
         return duration::zero();
-    case group_todo::Ready:
+    case group_action::Ready:
         return planAndChange(states);
     }
     return waitInterval;
@@ -311,7 +311,7 @@
 // waits.
 void map_leader::logWaitReason(const group_resolution& resolution, const states_by_rank& states)
 {
-    const std::string reason = resolution.kind == group_todo::Wait ? resolution.reason : "";
+    const std::string reason = resolution.kind == group_action::Wait ? resolution.reason : "";
     if (reason == m_waitReason)
         return;
     m_waitReason = reason;
