--- a/coltsfootbend/group/map_coordinator.cpp
+++ b/coltsfootbend/group/map_coordinator.cpp
@@ -14,7 +14,7 @@
 std::vector<coordinator_order> map_coordinator::tick(time_point now)
 {
     const bool undecided = m_state == state::Preparing || m_state == state::Proposing;
-    if (undecided && now >= m_options.giveUpAt)
+    if (undecided && now >= m_options.decisionDeadline)
         return abandon();
     if (now < m_retryAt)
         return {};
@@ -93,11 +93,11 @@
     if (message.epoch != m_options.epoch)
         return;
     m_highestEpochSeen = std::max(m_highestEpochSeen, message.promised);
-    if (m_state == state::Done || m_state == state::GivenUp)
+    if (m_state == state::Done || m_state == state::Abandoned)
         return;
     const bool isNewIncarnation = m_state == state::Deciding && message.promised < m_options.epoch;
     if (message.promised > m_options.epoch || isNewIncarnation) {
-        m_state = state::Overtaken;
+        m_state = state::Superseded;
     } else if (m_state == state::Proposing) {
         // The rank has not loaded the map, for instance after a restart: repeat the preparation.
         m_ranks[rank] = {};
@@ -107,7 +107,7 @@
 
 std::vector<coordinator_order> map_coordinator::pendingRequests(time_point now)
 {
-    m_retryAt = now + m_options.askAgainAfter;
+    m_retryAt = now + m_options.retryInterval;
     std::vector<coordinator_order> orders;
     for (rank_number rank = 0; rank < m_ranks.size(); ++rank) {
         const auto& state = m_ranks[rank];
@@ -125,7 +125,7 @@
 std::vector<coordinator_order> map_coordinator::abandon()
 {
     const bool promised = m_state == state::Proposing;
-    m_state = state::GivenUp;
+    m_state = state::Abandoned;
     std::vector<coordinator_order> orders;
     for (rank_number rank = 0; promised && rank < m_ranks.size(); ++rank)
         orders.push_back({ rank, release_promise { m_options.epoch } });
--- a/coltsfootbend/group/map_coordinator.h
+++ b/coltsfootbend/group/map_coordinator.h
@@ -5,7 +5,7 @@
 // until every rank has answered, completes what an earlier coordinator had decided, and abandons the change cleanly
 // while nothing is decided. Deterministic. One object serves one epoch.
 //
-//     map_coordinator change({ .epoch = epoch, .map = map, .ranks = 256, .giveUpAt = deadline });
+//     map_coordinator change({ .epoch = epoch, .map = map, .ranks = 256, .decisionDeadline = deadline });
 //     for (const auto& order : change.tick(now)) send(order.rank, order.message);
 //     for (const auto& order : change.handle(now, rank, message)) ...
 
@@ -31,8 +31,8 @@
         Proposing,
         Deciding,
         Done, // Every rank uses the decided schedule.
-        GivenUp, // The deadline passed before this epoch decided.
-        Overtaken, // A rank has promised a higher epoch, or has restarted: a higher epoch has to complete the change.
+        Abandoned, // The deadline passed before this epoch decided.
+        Superseded, // A rank has promised a higher epoch, or has restarted: a higher epoch has to complete the change.
     };
 
     struct options {
@@ -40,9 +40,9 @@
         map_version map;
         rank_number ranks = 0;
         // Time at which the change is abandoned if nothing is decided.
-        time_point giveUpAt {};
+        time_point decisionDeadline {};
         // Interval at which requests without an answer are repeated.
-        duration askAgainAfter = std::chrono::milliseconds(50);
+        duration retryInterval = std::chrono::milliseconds(50);
     };
 
     explicit map_coordinator(const options&);
@@ -55,9 +55,9 @@
 
     state current() const { return m_state; }
     // Returns the first step under the new map; 0 before the decision.
-    step_number switchAt() const { return m_switchStep; }
+    step_number switchStep() const { return m_switchStep; }
     // Returns the highest epoch seen. The next epoch must be higher.
-    map_epoch highestSeen() const { return m_highestEpochSeen; }
+    map_epoch highestEpochSeen() const { return m_highestEpochSeen; }
 
 private:
     struct rank_state {
--- a/coltsfootbend/group/map_coordinator_test.cpp
+++ b/coltsfootbend/group/map_coordinator_test.cpp
@@ -13,7 +13,7 @@
 
 map_coordinator twoRanks()
 {
-    return map_coordinator({ .epoch = epoch, .map = newMap, .ranks = 2, .giveUpAt = start + 10s });
+    return map_coordinator({ .epoch = epoch, .map = newMap, .ranks = 2, .decisionDeadline = start + 10s });
 }
 
 switch_promised promise(std::uint64_t life, step_number limit, map_schedule schedule)
@@ -36,7 +36,7 @@
     EXPECT_TRUE(change.handle(start, 0, promise(1, 40, known)).empty()) << "one promise is not enough";
     const auto orders = change.handle(start, 1, promise(2, 55, known));
     ASSERT_EQ(orders.size(), 2U);
-    EXPECT_EQ(change.switchAt(), 56U);
+    EXPECT_EQ(change.switchStep(), 56U);
     const auto& decision = std::get<decide_switch>(orders[0].message);
     EXPECT_EQ(decision.lives, (std::vector<incarnation> { incarnation(1), incarnation(2) }));
     (void)change.handle(start, 0, switch_taken { epoch, incarnation(1) });
@@ -76,7 +76,7 @@
     const auto orders = change.tick(start + 10s);
     ASSERT_EQ(orders.size(), 2U);
     EXPECT_TRUE(std::holds_alternative<release_promise>(orders[0].message));
-    EXPECT_EQ(change.current(), map_coordinator::state::GivenUp);
+    EXPECT_EQ(change.current(), map_coordinator::state::Abandoned);
     EXPECT_TRUE(change.handle(start + 10s, 1, promise(2, 50, {})).empty()) << "a late promise decides nothing";
 }
 
@@ -95,8 +95,8 @@
     auto change = twoRanks();
     loadBoth(change);
     (void)change.handle(start, 1, switch_refused { epoch, { 9, 4 } });
-    EXPECT_EQ(change.current(), map_coordinator::state::Overtaken);
-    EXPECT_EQ(change.highestSeen(), (map_epoch { 9, 4 }));
+    EXPECT_EQ(change.current(), map_coordinator::state::Superseded);
+    EXPECT_EQ(change.highestEpochSeen(), (map_epoch { 9, 4 }));
 }
 
 } // namespace
--- a/coltsfootbend/measure/group_trial.cpp
+++ b/coltsfootbend/measure/group_trial.cpp
@@ -197,7 +197,7 @@
             for (const auto& coordinator : m_coordinators) {
                 if (m_time.now() < coordinator.pausedUntil)
                     continue;
-                m_epoch = std::max(m_epoch, coordinator.change->highestSeen().number);
+                m_epoch = std::max(m_epoch, coordinator.change->highestEpochSeen().number);
                 send(coordinator.change->handle(m_time.now(), rank, message));
             }
         });
@@ -215,7 +215,7 @@
         const map_coordinator::options change { .epoch = { ++m_epoch, number },
             .map = map_version(++m_map),
             .ranks = m_options.ranks,
-            .giveUpAt = m_time.now() + limit };
+            .decisionDeadline = m_time.now() + limit };
         m_coordinators.push_back({ number, {}, std::make_unique<map_coordinator>(change) });
         tick(number);
     }
