--- a/coltsfootbend/group/map_coordinator.cpp
+++ b/coltsfootbend/group/map_coordinator.cpp
@@ -59,13 +59,13 @@
 {
     std::vector<map_segment> segments;
     step_number highestLimit = 0;
-    decide_switch decision { .epoch = m_options.epoch, .schedule = {}, .lives = {} };
+    decide_switch decision { .epoch = m_options.epoch, .schedule = {}, .incarnations = {} };
     for (const auto& rank : m_ranks) {
         const auto& promise = *rank.promise;
         const auto& known = promise.schedule.segments;
         segments.insert(segments.end(), known.begin(), known.end());
         highestLimit = std::max(highestLimit, promise.limit);
-        decision.lives.push_back(promise.life);
+        decision.incarnations.push_back(promise.rankIncarnation);
     }
     // Decisions only append segments, so the ranks' schedules are parts of one history.
     std::sort(segments.begin(), segments.end());
@@ -79,12 +79,12 @@
     m_decision = decision;
 }
 
-void map_coordinator::on(rank_number rank, const switch_taken& message)
+void map_coordinator::on(rank_number rank, const switch_applied& message)
 {
     if (m_state != state::Deciding || message.epoch != m_options.epoch)
         return;
-    m_ranks[rank].taken = true;
-    if (std::all_of(m_ranks.begin(), m_ranks.end(), [](const rank_state& state) { return state.taken; }))
+    m_ranks[rank].applied = true;
+    if (std::all_of(m_ranks.begin(), m_ranks.end(), [](const rank_state& state) { return state.applied; }))
         m_state = state::Done;
 }
 
@@ -115,7 +115,7 @@
             orders.push_back({ rank, prepare_map { m_options.epoch, m_options.map } });
         else if (m_state == state::Proposing && !state.promise)
             orders.push_back({ rank, propose_switch { m_options.epoch, m_options.map } });
-        else if (m_state == state::Deciding && !state.taken)
+        else if (m_state == state::Deciding && !state.applied)
             orders.push_back({ rank, *m_decision });
     }
     return orders;
--- a/coltsfootbend/group/map_coordinator.h
+++ b/coltsfootbend/group/map_coordinator.h
@@ -63,12 +63,12 @@
     struct rank_state {
         bool loaded = false;
         std::optional<switch_promised> promise;
-        bool taken = false;
+        bool applied = false;
     };
 
     void on(rank_number, const map_loaded&);
     void on(rank_number, const switch_promised&);
-    void on(rank_number, const switch_taken&);
+    void on(rank_number, const switch_applied&);
     void on(rank_number, const switch_refused&);
     // Builds the decision from the promises of all ranks.
     void decide();
--- a/coltsfootbend/group/map_coordinator_test.cpp
+++ b/coltsfootbend/group/map_coordinator_test.cpp
@@ -38,9 +38,9 @@
     ASSERT_EQ(orders.size(), 2U);
     EXPECT_EQ(change.switchStep(), 56U);
     const auto& decision = std::get<decide_switch>(orders[0].message);
-    EXPECT_EQ(decision.lives, (std::vector<incarnation> { incarnation(1), incarnation(2) }));
-    (void)change.handle(start, 0, switch_taken { epoch, incarnation(1) });
-    (void)change.handle(start, 1, switch_taken { epoch, incarnation(2) });
+    EXPECT_EQ(decision.incarnations, (std::vector<incarnation> { incarnation(1), incarnation(2) }));
+    (void)change.handle(start, 0, switch_applied { epoch, incarnation(1) });
+    (void)change.handle(start, 1, switch_applied { epoch, incarnation(2) });
     EXPECT_EQ(change.current(), map_coordinator::state::Done);
 }
 
--- a/coltsfootbend/group/map_messages.h
+++ b/coltsfootbend/group/map_messages.h
@@ -59,7 +59,7 @@
 struct decide_switch {
     map_epoch epoch;
     map_schedule schedule;
-    std::vector<incarnation> lives; // By rank.
+    std::vector<incarnation> incarnations; // By rank.
 };
 // Coordinator to rank: this epoch will never decide, and its promise is void.
 struct release_promise {
@@ -75,26 +75,26 @@
 // Rank to coordinator: the promise asked for by `propose_switch`.
 struct switch_promised {
     map_epoch epoch;
-    incarnation life;
+    incarnation rankIncarnation;
     step_number limit = 0; // Last step that the rank grants before it receives a decision.
     map_schedule schedule; // Decided schedule that the rank knows; without segments in a new incarnation.
 };
 // Rank to coordinator: the decided schedule is in use.
-struct switch_taken {
+struct switch_applied {
     map_epoch epoch;
-    incarnation life;
+    incarnation rankIncarnation;
 };
 // Rank to coordinator: the rank has promised a higher epoch, or is not ready for the request yet.
 struct switch_refused {
     map_epoch epoch;
     map_epoch promised;
 };
-using rank_message = std::variant<map_loaded, switch_promised, switch_taken, switch_refused>;
+using rank_message = std::variant<map_loaded, switch_promised, switch_applied, switch_refused>;
 
 // Addresses a message to or from one rank. Both sides ignore messages of another incarnation of the group.
 template <typename Body> struct group_envelope {
     group_id group;
-    incarnation groupLife;
+    incarnation groupIncarnation;
     rank_number rank = 0; // Rank that sends the message or is addressed by it.
     Body body;
 };
--- a/coltsfootbend/group/rank_agent.cpp
+++ b/coltsfootbend/group/rank_agent.cpp
@@ -104,7 +104,7 @@
     // Only the epoch promised last may decide, and only for this very life: a former life's promise is not ours.
     if (message.epoch != m_promised)
         return switch_refused { message.epoch, m_promised };
-    if (m_options.rank >= message.lives.size() || message.lives[m_options.rank] != m_options.life)
+    if (m_options.rank >= message.incarnations.size() || message.incarnations[m_options.rank] != m_options.life)
         return switch_refused { message.epoch, m_promised };
     m_schedule = message.schedule;
     // What every engine has left behind is not needed any more; a restarted rank may still be a little behind this one.
@@ -114,7 +114,7 @@
     wantNextMap();
     m_joined = true;
     m_limit = unlimited;
-    return switch_taken { message.epoch, m_options.life };
+    return switch_applied { message.epoch, m_options.life };
 }
 
 std::optional<rank_message> rank_agent::on(const release_promise& message)
--- a/coltsfootbend/group/rank_agent_test.cpp
+++ b/coltsfootbend/group/rank_agent_test.cpp
@@ -33,7 +33,7 @@
     const map_schedule schedule { { 1, 1 }, { { 1, oldMap } } };
     EXPECT_TRUE(answers<switch_refused>(agent.handle(decide_switch { { 1, 1 }, schedule, { incarnation(4) } })));
     EXPECT_FALSE(agent.grant(1)) << "that was a former life's decision";
-    EXPECT_TRUE(answers<switch_taken>(agent.handle(decide_switch { { 1, 1 }, schedule, { life } })));
+    EXPECT_TRUE(answers<switch_applied>(agent.handle(decide_switch { { 1, 1 }, schedule, { life } })));
     EXPECT_EQ(agent.grant(1), oldMap);
 }
 
--- a/coltsfootbend/measure/group_trial.cpp
+++ b/coltsfootbend/measure/group_trial.cpp
@@ -248,7 +248,8 @@
                 (void)agent.handle(propose_switch { epoch, map });
                 std::vector<incarnation> lives;
                 for (rank_number each = 0; each < m_options.ranks; ++each)
-                    lives.push_back(std::get<switch_promised>(*agent.handle(propose_switch { epoch, map })).life);
+                    lives.push_back(
+                        std::get<switch_promised>(*agent.handle(propose_switch { epoch, map })).rankIncarnation);
                 (void)agent.handle(decide_switch { epoch, schedule, lives });
                 pump();
             };
