--- a/coltsfootbend/group/placement.cpp
+++ b/coltsfootbend/group/placement.cpp
@@ -69,7 +69,7 @@
     return sum > 0 ? *std::max_element(loads.begin(), loads.end()) * m_ranks / sum : 1;
 }
 
-std::size_t placement::movesTo(const placement& next) const
+std::size_t placement::countMovesTo(const placement& next) const
 {
     std::size_t moves = 0;
     for (rank_number rank = 0; rank < m_ranks; ++rank) {
--- a/coltsfootbend/group/placement.h
+++ b/coltsfootbend/group/placement.h
@@ -46,7 +46,7 @@
     // Returns the largest rank load divided by the mean; 1 is perfect balance.
     double skew(const expert_load&) const;
     // Returns how many slots of `next` hold an expert that this placement does not have on the same rank.
-    std::size_t movesTo(const placement& next) const;
+    std::size_t countMovesTo(const placement& next) const;
 
 private:
     rank_number m_ranks = 0;
--- a/coltsfootbend/group/placement_test.cpp
+++ b/coltsfootbend/group/placement_test.cpp
@@ -37,7 +37,7 @@
     const auto plan = planRebalance(current, load, options);
     RC_ASSERT(everyExpertIsPlaced(plan.next));
     RC_ASSERT(plan.moves <= options.maxMoves);
-    RC_ASSERT(current.movesTo(plan.next) <= plan.moves);
+    RC_ASSERT(current.countMovesTo(plan.next) <= plan.moves);
     RC_ASSERT(plan.skewAfter <= plan.skewBefore);
     RC_ASSERT(std::abs(plan.next.skew(load) - plan.skewAfter) < 1e-9);
     RC_ASSERT(plan.moves == 0U || plan.skewBefore - plan.skewAfter > 0.001 * static_cast<double>(plan.moves));
--- a/coltsfootbend/group/rebalancer.cpp
+++ b/coltsfootbend/group/rebalancer.cpp
@@ -25,12 +25,12 @@
         [now](const protected_window& window) { return now >= window.start && now < window.end; });
 }
 
-std::optional<rebalance_plan> rebalancer::decide(time_point now)
+std::optional<rebalance_plan> rebalancer::planIfDue(time_point now)
 {
     if (m_estimate.empty() || now < m_nextPlanAt)
         return std::nullopt;
     m_nextPlanAt = now + m_options.interval;
-    if (isProtected(now) && expectedSkew() <= m_options.protectedLimit)
+    if (isProtected(now) && expectedSkew() <= m_options.protectedSkewLimit)
         return std::nullopt;
     auto plan = planRebalance(m_current, m_estimate, { m_options.gainPerMove, m_options.maxMoves });
     if (plan.moves == 0)
--- a/coltsfootbend/group/rebalancer.h
+++ b/coltsfootbend/group/rebalancer.h
@@ -7,7 +7,7 @@
 //
 //     rebalancer layer(placement::initial(256, 256, 2), { .gainPerMove = 0.0004, .interval = 2min, ... });
 //     layer.observe(load);
-//     if (auto plan = layer.decide(now)) { ...; layer.carriedOut(*plan); }
+//     if (auto plan = layer.planIfDue(now)) { ...; layer.onPlanApplied(*plan); }
 
 #include "coltsfootbend/base/time.h"
 #include "coltsfootbend/group/placement.h"
@@ -37,7 +37,7 @@
         // Weight of the newest report in the load estimate, 0 to 1.
         double smoothing = 0.3;
         // Skew above which experts are moved in a protected window as well.
-        double protectedLimit = std::numeric_limits<double>::infinity();
+        double protectedSkewLimit = std::numeric_limits<double>::infinity();
     };
 
     rebalancer(placement current, const options&);
@@ -45,14 +45,14 @@
     // Adds one report of the experts' load to the estimate. Precondition: the report has one value for each expert.
     void observe(const expert_load&);
 
-    void setProtected(std::vector<protected_window> windows) { m_protectedWindows = std::move(windows); }
+    void setProtectedWindows(std::vector<protected_window> windows) { m_protectedWindows = std::move(windows); }
     bool isProtected(time_point now) const;
 
     // Returns a plan if one is due, permitted and worth its moves. Changes no state but the time of the next plan.
-    std::optional<rebalance_plan> decide(time_point now);
+    std::optional<rebalance_plan> planIfDue(time_point now);
 
     // Sets the current placement once the plan is in use.
-    void carriedOut(const rebalance_plan& plan) { m_current = plan.next; }
+    void onPlanApplied(const rebalance_plan& plan) { m_current = plan.next; }
 
     const placement& current() const { return m_current; }
     // Returns the skew of the current placement under the estimated load; 1 before the first report.
--- a/coltsfootbend/group/rebalancer_test.cpp
+++ b/coltsfootbend/group/rebalancer_test.cpp
@@ -16,37 +16,37 @@
     return load;
 }
 
-rebalancer makeRebalancer(double protectedLimit = 100)
+rebalancer makeRebalancer(double protectedSkewLimit = 100)
 {
-    return rebalancer(
-        placement::initial(8, 16, 4), { .gainPerMove = 0.01, .interval = 5min, .protectedLimit = protectedLimit });
+    return rebalancer(placement::initial(8, 16, 4),
+        { .gainPerMove = 0.01, .interval = 5min, .protectedSkewLimit = protectedSkewLimit });
 }
 
 TEST(Rebalancer, PlansWhenDueAndWorthIt)
 {
     auto balanced = makeRebalancer();
-    EXPECT_FALSE(balanced.decide(start)) << "nothing is known yet";
+    EXPECT_FALSE(balanced.planIfDue(start)) << "nothing is known yet";
     balanced.observe(hotExpert());
-    const auto plan = balanced.decide(start);
+    const auto plan = balanced.planIfDue(start);
     ASSERT_TRUE(plan);
-    EXPECT_FALSE(balanced.decide(start + 1min)) << "not due";
-    balanced.carriedOut(*plan);
-    EXPECT_FALSE(balanced.decide(start + 6min)) << "nothing is left to gain";
+    EXPECT_FALSE(balanced.planIfDue(start + 1min)) << "not due";
+    balanced.onPlanApplied(*plan);
+    EXPECT_FALSE(balanced.planIfDue(start + 6min)) << "nothing is left to gain";
 }
 
 TEST(Rebalancer, MovesNothingInAProtectedWindowUnlessTheSkewExceedsTheLimit)
 {
     const std::vector<protected_window> windows { { start, start + 4h } };
     auto lenient = makeRebalancer();
-    lenient.setProtected(windows);
+    lenient.setProtectedWindows(windows);
     lenient.observe(hotExpert());
-    EXPECT_FALSE(lenient.decide(start + 1h));
-    EXPECT_TRUE(lenient.decide(start + 4h)) << "the window is over";
+    EXPECT_FALSE(lenient.planIfDue(start + 1h));
+    EXPECT_TRUE(lenient.planIfDue(start + 4h)) << "the window is over";
     auto strict = makeRebalancer(1.5);
-    strict.setProtected(windows);
+    strict.setProtectedWindows(windows);
     strict.observe(hotExpert());
     EXPECT_GT(strict.expectedSkew(), 1.5);
-    EXPECT_TRUE(strict.decide(start + 1h));
+    EXPECT_TRUE(strict.planIfDue(start + 1h));
 }
 
 TEST(Rebalancer, OneOutlierReportChangesTheEstimateLittle)
--- a/coltsfootbend/measure/rebalance_scenarios.cpp
+++ b/coltsfootbend/measure/rebalance_scenarios.cpp
@@ -157,7 +157,7 @@
     std::vector<expert_load> seen;
     const auto first = placement::initial(ranks, experts, slots);
     rebalancer shipped(first, policy.weights);
-    shipped.setProtected(windowsOf(policy));
+    shipped.setProtectedWindows(windowsOf(policy));
     auto current = first;
     outcome_figures figures;
     for (int minute = 0; minute < minutes; ++minute) {
@@ -173,14 +173,14 @@
             next = greedyOptimum(seen.back(), current);
         } else if (how == way::Planned) {
             const auto startedAt = std::chrono::steady_clock::now();
-            if (const auto plan = shipped.decide(timeOf(minute))) {
-                shipped.carriedOut(*plan);
+            if (const auto plan = shipped.planIfDue(timeOf(minute))) {
+                shipped.onPlanApplied(*plan);
                 next = plan->next;
             }
             const std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - startedAt;
             figures.planMs = std::max(figures.planMs, took.count());
         }
-        const auto moves = static_cast<double>(current.movesTo(next));
+        const auto moves = static_cast<double>(current.countMovesTo(next));
         // The first placement is nobody's rebalancing.
         if (minute > 0) {
             figures.moves += moves;
@@ -237,7 +237,7 @@
 {
     using std::chrono::minutes;
     const policy camara { .weights = { .gainPerMove = 0.0004, .interval = minutes(2) } };
-    const policy panopano { .weights = { .gainPerMove = 0.002, .interval = minutes(5), .protectedLimit = 2 },
+    const policy panopano { .weights = { .gainPerMove = 0.002, .interval = minutes(5), .protectedSkewLimit = 2 },
         .protectedFrom = 8 * 60,
         .protectedTo = 12 * 60 };
     return { { "skew.camara", "skew and moves with the Cámara's weights",
