--- a/coltsfootbend/group/demand_estimator.h
+++ b/coltsfootbend/group/demand_estimator.h
@@ -47,6 +47,7 @@
     // Returns whether the newest round shows a shift of demand, and updates the expected drift.
     bool isShift();
 
+    // Counts of the current round, normalised to shares at its end.
     group_demand m_round;
     group_demand m_demand;
     // Number of choices counted in the current round.
@@ -58,6 +59,7 @@
     // Smoothed drift of the rounds, divided by the standard deviation expected for their number of choices: constant
     // while demand is stable.
     double m_normalizedDrift = 0;
+    // Number of rounds that contributed to `m_normalizedDrift`.
     std::uint32_t m_learntRounds = 0;
     bool m_isKnown = false;
 };
--- a/coltsfootbend/group/map_coordinator.h
+++ b/coltsfootbend/group/map_coordinator.h
@@ -27,9 +27,9 @@
 class map_coordinator {
 public:
     enum class state {
-        Preparing,
-        Proposing,
-        Deciding,
+        Preparing, // The ranks load the map.
+        Proposing, // The ranks promise a limit of their steps.
+        Deciding, // The decision is being sent to the ranks.
         Done, // Every rank uses the decided schedule.
         Abandoned, // The deadline passed before this epoch decided.
         Superseded, // A rank has promised a higher epoch, or has restarted: a higher epoch has to complete the change.
@@ -74,6 +74,7 @@
     void decide();
     // Returns the current phase's request for every rank that has not answered it.
     std::vector<coordinator_order> pendingRequests(time_point now);
+    // Ends the change without a decision, and returns the messages that lift the promises.
     std::vector<coordinator_order> abandon();
 
     const options m_options;
--- a/coltsfootbend/group/map_coordinator_test.cpp
+++ b/coltsfootbend/group/map_coordinator_test.cpp
@@ -16,9 +16,9 @@
     return map_coordinator({ .epoch = epoch, .map = newMap, .ranks = 2, .decisionDeadline = start + 10s });
 }
 
-switch_promised promise(std::uint64_t life, step_number limit, map_schedule schedule)
+switch_promised promise(std::uint64_t rankIncarnation, step_number limit, map_schedule schedule)
 {
-    return { epoch, incarnation(life), limit, std::move(schedule) };
+    return { epoch, incarnation(rankIncarnation), limit, std::move(schedule) };
 }
 
 void loadBoth(map_coordinator& change)
--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -53,10 +53,10 @@
     return "missing=" + std::to_string(missing) + " first=" + (listed.empty() ? "-" : listed);
 }
 
-// An order to the leader's own rank, carried out while the orders to the other ranks are under way.
-class own_rank_order {
+// An order to the local rank, carried out while the orders to the other ranks are under way.
+class local_rank_order {
 public:
-    own_rank_order(
+    local_rank_order(
         fiber_runtime& runtime, map_participant& participant, const wire::rank_order& order, duration timeout)
         : m_work(std::make_shared<work>(runtime))
         , m_deadline(clock_type::now() + timeout)
@@ -110,11 +110,11 @@
     for (const auto& answer : later) {
         if (!answer)
             continue;
-        const auto former = std::find_if(answers.begin(), answers.end(), [&](const auto& former) {
-            return former && former->group == answer->group && former->rank == answer->rank;
+        const auto earlier = std::find_if(answers.begin(), answers.end(), [&](const auto& earlier) {
+            return earlier && earlier->group == answer->group && earlier->rank == answer->rank;
         });
-        if (former != answers.end())
-            *former = answer;
+        if (earlier != answers.end())
+            *earlier = answer;
     }
 }
 
@@ -149,7 +149,7 @@
 
 wire::order_scope map_leader::nextOrderScope()
 {
-    auto scope = queryScope(m_ownRank);
+    auto scope = queryScope(m_localRank);
     scope.leaderRun = m_leaderRun;
     scope.serial = ++m_serial;
     return scope;
@@ -183,10 +183,10 @@
     Order order, const std::vector<member>& members, duration timeout)
 {
     order.scope = nextOrderScope();
-    own_rank_order ownOrder(m_runtime, m_participant, order, timeout);
+    local_rank_order localOrder(m_runtime, m_participant, order, timeout);
     order.scope.life = 0;
     auto states = sendToAll(order, addresseesOf(members), timeout).states;
-    states.insert(states.begin(), ownOrder.wait());
+    states.insert(states.begin(), localOrder.wait());
     return states;
 }
 
@@ -207,7 +207,7 @@
     });
 }
 
-// Prefers ranks in the own data centre: counts are by far the largest part of the answers, and traffic between data
+// Prefers ranks in the local data centre: counts are by far the largest part of the answers, and traffic between data
 // centres is expensive. Selects the same ranks in every round, so that the counts of each rank cover exactly one round.
 void map_leader::selectDemandSources(std::vector<addressee>& to) const
 {
@@ -227,13 +227,13 @@
         .wantsDemand = true,
         .wantsMap = m_requestsMap };
     // A leader whose engine does not answer, or whose rank has changed, does no round, so that another rank takes over.
-    const auto ownState = m_participant.answer(query, clock_type::now() + timeout);
-    if (!ownState || ownState->group != query.scope.group || leaderOf(m_term) != ownState->rank)
+    const auto localState = m_participant.answer(query, clock_type::now() + timeout);
+    if (!localState || localState->group != query.scope.group || leaderOf(m_term) != localState->rank)
         return {};
-    m_group = ownState->group;
-    m_ownRank = ownState->rank;
-    states_by_rank states(ownState->ranks);
-    states[ownState->rank] = *ownState;
+    m_group = localState->group;
+    m_localRank = localState->rank;
+    states_by_rank states(localState->ranks);
+    states[localState->rank] = *localState;
     std::vector<addressee> to; // A copy: `m_peers` may be replaced while this fiber is blocked.
     for (const auto& channel : m_peers)
         to.push_back({ .channel = channel });
@@ -243,11 +243,11 @@
     std::map<rank_number, member> membersByDistance;
     for (std::size_t i = 0; i < carried.states.size(); ++i) {
         const auto& answer = carried.states[i];
-        if (!answer || answer->group != m_group || answer->rank >= states.size() || answer->rank == ownState->rank)
+        if (!answer || answer->group != m_group || answer->rank >= states.size() || answer->rank == localState->rank)
             continue;
         states[answer->rank] = *answer;
-        if (answer->epoch == ownState->epoch)
-            membersByDistance[(answer->rank + ownState->ranks - ownState->rank) % ownState->ranks]
+        if (answer->epoch == localState->epoch)
+            membersByDistance[(answer->rank + localState->ranks - localState->rank) % localState->ranks]
                 = { answer->rank, to[i].channel };
     }
     m_members.clear();
@@ -260,14 +260,14 @@
 bool map_leader::isConfirmed(const group_resolution& seen)
 {
     const auto states = collectStates(m_options.queryTimeout);
-    return !isDeposed() && !states.empty() && resolve(states) == seen;
+    return !isSuperseded() && !states.empty() && resolve(states) == seen;
 }
 
 duration map_leader::runRound(leader_term term)
 {
     m_term = term;
     const auto states = collectStates(m_options.queryTimeout);
-    if (isDeposed() || states.empty())
+    if (isSuperseded() || states.empty())
         return waitInterval;
     updateEstimates(states);
     const auto resolution = resolve(states);
@@ -352,7 +352,7 @@
 {
     m_incarnations.resize(states.size());
     bool isRestarted = false;
-    const auto epoch = states[m_ownRank]->epoch;
+    const auto epoch = states[m_localRank]->epoch;
     for (std::size_t rank = 0; rank < states.size(); ++rank) {
         const auto& state = states[rank];
         if (!state)
@@ -371,7 +371,7 @@
     m_lastMeasuredPass = 0;
 }
 
-bool map_leader::isMapKnown(const wire::rank_state& own) const { return m_map && m_mapVersion == own.mapVersion; }
+bool map_leader::isMapKnown(const wire::rank_state& state) const { return m_map && m_mapVersion == state.mapVersion; }
 
 duration map_leader::planAndChange(const states_by_rank& states)
 {
@@ -439,7 +439,7 @@
     logEvent(log_event::MapChangeStep,
         "step=prepared version=" + std::to_string(version) + " begun=" + std::to_string(*step)
             + " held=" + std::to_string(held.value_or(0)));
-    if (!held || isDeposed())
+    if (!held || isSuperseded())
         return; // A hold that takes effect later is found and released by the next round.
     m_pendingVersion = version;
     m_pendingMap = plan.next;
@@ -466,7 +466,7 @@
             ranksWithoutBase.push_back(m_members[i - 1]);
     }
     const bool isBaseMissing = !ranksWithoutBase.empty() || (answers[0] && answers[0]->lacksBase);
-    if (isBaseMissing && !isDeposed()) {
+    if (isBaseMissing && !isSuperseded()) {
         prepare.changes.clear();
         prepare.map = map;
         replaceEarlier(answers, orderAll(prepare, ranksWithoutBase, m_options.prepareTimeout));
@@ -511,7 +511,7 @@
 {
     const auto deadline = clock_type::now() + holdTimeout;
     result<wire::rank_state> state = fail(error_kind::TimedOut, "the engine did not confirm the hold", "");
-    while (clock_type::now() < deadline && !isDeposed()) {
+    while (clock_type::now() < deadline && !isSuperseded()) {
         // The result is ignored: the rank's state shows whether the hold was carried out.
         (void)holder.channel->hold(m_epoch, step, std::min(deadline, clock_type::now() + holdAnswerTimeout));
         state = holder.channel->ask(wire::rank_query { .scope = queryScope(holder.rank) }, deadline);
@@ -523,19 +523,19 @@
     return state;
 }
 
-// Counts from the pass that the own rank has just begun, since the other ranks reported theirs before they copied
+// Counts from the pass that the local rank has just begun, since the other ranks reported theirs before they copied
 // experts. Passes before the switch run under the worse map, so the held pass is as near as arming permits; if the
 // group reaches it early, only the remainder of arming delays it.
 //
-// The pass is held at another rank's engine, by a direct order from this process. If the own engine held the pass and
+// The pass is held at another rank's engine, by a direct order from this process. If the local engine held the pass and
 // its VM stalled, no other process could release it before the VM resumed, which takes longer than the timeouts of the
 // group's streams.
 std::optional<pass_number> map_leader::holdFuturePass(pass_number step)
 {
     const auto* chosen = holder();
-    for (int tries = 0; chosen && tries < maxHoldTries && !isDeposed(); ++tries) {
+    for (int tries = 0; chosen && tries < maxHoldTries && !isSuperseded(); ++tries) {
         const auto current = m_participant.answer(
-            wire::rank_query { .scope = queryScope(m_ownRank) }, clock_type::now() + holdTimeout);
+            wire::rank_query { .scope = queryScope(m_localRank) }, clock_type::now() + holdTimeout);
         if (current)
             step = std::max(step, current->step);
         const auto target = step + passesAhead();
@@ -551,7 +551,7 @@
     return std::nullopt;
 }
 
-// Arms the own rank last: a superseded leader that the other ranks no longer obey must not arm its own rank alone.
+// Arms the local rank last: a superseded leader that the other ranks no longer obey must not arm its own rank alone.
 bool map_leader::armAll(const armed_switch& target)
 {
     wire::rank_arm arm { .scope = {}, .version = target.version, .step = target.step };
@@ -563,15 +563,15 @@
     const auto begunAt = clock_type::now();
     const auto answers = orderMembers(arm, m_options.armTimeout);
     const bool allArmed = m_allRanksAnswered && std::all_of(answers.begin(), answers.end(), isArmed);
-    if (!allArmed || isDeposed()) {
+    if (!allArmed || isSuperseded()) {
         recordArmingTime(clock_type::now() - begunAt);
         logEvent(log_event::MapChangeFailed, "step=arm " + describe(target));
         return false;
     }
     arm.scope = nextOrderScope();
-    const bool isOwnArmed = isArmed(m_participant.answer(arm, clock_type::now() + m_options.armTimeout));
+    const bool isLocalArmed = isArmed(m_participant.answer(arm, clock_type::now() + m_options.armTimeout));
     recordArmingTime(clock_type::now() - begunAt);
-    return isOwnArmed && !isDeposed();
+    return isLocalArmed && !isSuperseded();
 }
 
 void map_leader::disarmAll(engine_map_version version)
@@ -583,7 +583,7 @@
 // be stopped.
 void map_leader::releaseHeldPass(pass_number step)
 {
-    if (isDeposed())
+    if (isSuperseded())
         return;
     if (const auto* at = holder()) {
         wire::rank_release release { .scope = nextOrderScope(), .step = step };
@@ -597,7 +597,7 @@
 
 void map_leader::releaseAll(pass_number step)
 {
-    if (isDeposed())
+    if (isSuperseded())
         return;
     (void)orderAll(wire::rank_release { .scope = {}, .step = step }, m_members, releaseTimeout);
 }
--- a/coltsfootbend/group/map_leader.h
+++ b/coltsfootbend/group/map_leader.h
@@ -20,7 +20,8 @@
 
 namespace coltsfootbend {
 
-// The leader of one group's map changes, in use while the own rank holds the highest term.
+// The leader of one group's map changes, in use while the local rank holds the highest term. "Local" means the rank of
+// this process.
 class map_leader {
 public:
     struct options {
@@ -74,20 +75,20 @@
 
     using states_by_rank = std::vector<std::optional<wire::rank_state>>;
 
-    // Queries all ranks, and updates the list of members that belong to the own formation.
+    // Queries all ranks, and updates the list of members of the leader's formation.
     states_by_rank collectStates(duration timeout);
     // Sends a query to all ranks during a long step, so that they do not assume that the leader has failed.
     void sendHeartbeat();
-    // Returns the scope that every query to a rank of the own formation carries.
+    // Returns the scope that every query to a rank of the leader's formation carries.
     wire::order_scope queryScope(rank_number) const;
     // Returns the scope of the next order, with a new serial number.
     wire::order_scope nextOrderScope();
     // Sends `order` to all addressees concurrently, and yields to a newer leader whose term an answer reports.
     carried_order sendToAll(const wire::rank_order&, const std::vector<addressee>&, duration timeout);
-    // Sends an order to the own rank and to `members` concurrently. The own rank's answer is the first element.
+    // Sends an order to the local rank and to `members` concurrently. The local rank's answer is the first element.
     template <typename Order>
     std::vector<result<wire::rank_state>> orderAll(Order, const std::vector<member>& members, duration timeout);
-    // Sends an order to all members, without the own rank.
+    // Sends an order to all members, without the local rank.
     template <typename Order> std::vector<result<wire::rank_state>> orderMembers(Order, duration timeout);
     // Marks the addressees whose expert counts are requested.
     void selectDemandSources(std::vector<addressee>&) const;
@@ -103,7 +104,8 @@
     // Drops the known map when the group has formed anew or an engine has restarted: such a group uses its initial map
     // again.
     void updateFormation(const states_by_rank&);
-    bool isMapKnown(const wire::rank_state& own) const;
+    // Returns whether `m_map` is the map in use that `state` reports.
+    bool isMapKnown(const wire::rank_state& state) const;
     // Plans a map for the estimated demand and brings it into use if the gain is sufficient. Returns the delay until
     // the next round.
     duration planAndChange(const states_by_rank&);
@@ -119,21 +121,26 @@
     std::optional<pass_number> holdFuturePass(pass_number step);
     // Holds the pass `step` at the given rank. Returns the rank's state afterwards.
     result<wire::rank_state> holdPassAt(const member&, pass_number step);
-    // Returns the rank at which passes are held, which is never the own rank; null if there is no other member.
+    // Returns the rank at which passes are held, which is never the local rank; null if there is no other member.
     const member* holder() const;
     // Queries all ranks again, and returns whether their states lead to the same resolution.
     bool isConfirmed(const group_resolution&);
-    // Arms all ranks for `target`, the own rank last. Returns whether all of them are confirmed to be armed.
+    // Arms all ranks for `target`, the local rank last. Returns whether all of them are confirmed to be armed.
     bool armAll(const armed_switch&);
+    // Orders all ranks to disarm the switch to the given version.
     void disarmAll(engine_map_version);
     // Releases the pass at the rank that holds it, or at all ranks if that rank does not confirm.
     void releaseHeldPass(pass_number step);
+    // Orders all ranks to release the pass `step`.
     void releaseAll(pass_number step);
     // Returns how many passes after the current one a switch is scheduled.
     pass_number passesAhead() const;
+    // Updates the recent arming time with one measurement.
     void recordArmingTime(duration elapsed);
+    // Returns whether `state` belongs to the leader's group and epoch.
     bool isOfFormation(const wire::rank_state& state) const { return state.group == m_group && state.epoch == m_epoch; }
-    bool isDeposed() const { return m_participant.term() != m_term; }
+    // Returns whether another rank has claimed a higher term.
+    bool isSuperseded() const { return m_participant.term() != m_term; }
 
     fiber_runtime& m_runtime;
     map_participant& m_participant;
@@ -142,8 +149,8 @@
     const map_planner m_planner;
     std::minstd_rand m_random;
     std::vector<std::shared_ptr<rank_channel>> m_peers;
-    // Reached ranks of the own formation, in cyclic order from the rank after the own one, and the index of the one
-    // that holds passes.
+    // Reached ranks of the leader's formation, in cyclic order from the rank after the local one, and the index of the
+    // one that holds passes.
     std::vector<member> m_members;
     std::size_t m_holderIndex = 0;
     bool m_allRanksAnswered = false;
@@ -157,9 +164,9 @@
     group_epoch m_epoch = 0;
     std::vector<std::uint64_t> m_incarnations; // Incarnations of the engines by rank; 0 if not reported.
     std::string m_group;
-    rank_number m_ownRank = 0;
+    rank_number m_localRank = 0;
     std::string m_knownGroup; // Group to which the known map and incarnations belong.
-    bool m_requestsMap = true;
+    bool m_requestsMap = true; // Whether queries request each rank's part of the map in use.
     // Reason for which no change can be made at present; empty if changes are possible.
     std::string m_waitReason;
     engine_map_version m_mapVersion = 0;
--- a/coltsfootbend/group/map_planner_test.cpp
+++ b/coltsfootbend/group/map_planner_test.cpp
@@ -112,7 +112,7 @@
     limited.maxCopiesPerRank = 3;
     const auto map = initialMap(sets);
     const auto demand = skewedDemand(sets, 5);
-    const auto whole = map_planner(defaultOptions).plan(map, demand, evenPaces);
+    const auto unlimited = map_planner(defaultOptions).plan(map, demand, evenPaces);
     const auto first = map_planner(limited).plan(map, demand, evenPaces);
     for (rank_number rank = 0; rank < ranks; ++rank) {
         std::uint32_t copied = 0;
@@ -124,7 +124,7 @@
         }
         EXPECT_LE(copied, 3U);
     }
-    EXPECT_GT(first.gain(), whole.gain() / 2);
+    EXPECT_GT(first.gain(), unlimited.gain() / 2);
     const auto second = map_planner(limited).plan(first.next, demand, evenPaces);
     EXPECT_LT(second.skewAfter, first.skewAfter) << "the remaining moves follow";
 }
--- a/coltsfootbend/group/placement.h
+++ b/coltsfootbend/group/placement.h
@@ -15,6 +15,7 @@
 
 namespace coltsfootbend {
 
+// Number of an expert within its layer, from 0.
 using expert_number = std::uint32_t;
 
 // Share of a layer's tokens that each expert receives; sums to 1.
@@ -35,6 +36,7 @@
     expert_number at(rank_number rank, std::uint32_t slot) const { return m_expert[rank * m_slots + slot]; }
     // Returns the number of slots that hold `expert`.
     std::uint32_t replicas(expert_number expert) const { return m_replicas[expert]; }
+    // Returns whether a slot of the rank holds the expert.
     bool holds(rank_number, expert_number) const;
     // Replaces the expert in a slot. Precondition: the replaced expert has another replica.
     void replace(rank_number, std::uint32_t slot, expert_number);
@@ -55,6 +57,7 @@
     std::vector<std::uint32_t> m_replicas; // By expert.
 };
 
+// The cost and the limit of the moves of one plan.
 struct rebalance_options {
     // Minimum reduction of the skew for each moved expert: the cost of one move, in skew over the time that the plan is
     // expected to be in use.
--- a/coltsfootbend/group/rebalancer.h
+++ b/coltsfootbend/group/rebalancer.h
@@ -46,6 +46,7 @@
     void observe(const expert_load&);
 
     void setProtectedWindows(std::vector<protected_window> windows) { m_protectedWindows = std::move(windows); }
+    // Returns whether `now` is in a protected window.
     bool isProtected(time_point now) const;
 
     // Returns a plan if one is due, permitted and worth its moves. Changes no state but the time of the next plan.
