--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -536,6 +536,7 @@
     EXPECT_TRUE(outcome.isProgressing);
 }
 
+// The leader's VM stalls while some ranks are armed. Its arm orders may still take effect at the others.
 TEST_P(map_leader_trial, NeverMixesMapsWhenALeaderStallsWithSomeRanksArmed)
 {
     const auto someArmed = [](const model_group& group) {
