--- a/coltsfootbend/group/group_state.cpp
+++ b/coltsfootbend/group/group_state.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-using known_states = std::vector<const wire::rank_state*>;
+using reported_states = std::vector<const wire::rank_state*>;
 
 group_resolution waitFor(const char* reason)
 {
-    return { .kind = group_todo::Wait, .target = {}, .heldBy = {}, .heldStep = 0, .reason = reason };
+    return { .kind = group_action::Wait, .target = {}, .heldBy = {}, .heldStep = 0, .reason = reason };
 }
 
 bool isArmedFor(const wire::rank_state& state, const armed_switch& target)
@@ -21,8 +21,8 @@
         || (state.armedVersion == target.version && state.armedStep == target.step && !state.isArmUncertain);
 }
 
-// The holds of the earliest pass: the group stands there first.
-void addHolds(const known_states& states, group_resolution& resolution)
+// Adds the holds of the earliest held pass, which stops the group first.
+void addHolds(const reported_states& states, group_resolution& resolution)
 {
     for (const auto* state : states) {
         if (state->heldStep != 0 && (resolution.heldStep == 0 || state->heldStep < resolution.heldStep))
@@ -34,8 +34,8 @@
     }
 }
 
-// A switch that some rank is armed for, or may be.
-std::optional<armed_switch> findArmed(const known_states& states)
+// Returns the switch that a rank is armed for, or may be; none if there is none.
+std::optional<armed_switch> findArmed(const reported_states& states)
 {
     for (const auto* state : states) {
         if (state->armedVersion != 0 && state->mapVersion != state->armedVersion)
@@ -44,46 +44,47 @@
     return std::nullopt;
 }
 
-// A rank that neither uses the version nor has it prepared can never be armed for it. Only sure when no order for it is
-// open at any rank: otherwise the group rather stands still until that is settled.
-bool mustDisarm(const known_states& states, const armed_switch& target)
+// Returns whether a rank can never be armed for `target`, because it neither uses that version nor has it prepared.
+// This is certain only while no rank has an arm order whose result is unknown; until then the group stays stalled.
+bool needsDisarm(const reported_states& states, const armed_switch& target)
 {
-    const bool isSure
+    const bool isCertain
         = std::none_of(states.begin(), states.end(), [](const auto* state) { return state->isArmUncertain; });
-    return isSure && std::any_of(states.begin(), states.end(), [&](const auto* state) {
+    return isCertain && std::any_of(states.begin(), states.end(), [&](const auto* state) {
         return !isArmedFor(*state, target) && state->preparedVersion != target.version;
     });
 }
 
-bool allPrepared(const known_states& states, engine_map_version version)
+// Returns whether every rank has prepared `version` and none uses it.
+bool allPrepared(const reported_states& states, engine_map_version version)
 {
     return version != 0 && std::all_of(states.begin(), states.end(), [version](const auto* state) {
         return state->preparedVersion == version && state->mapVersion != version;
     });
 }
 
-// The former leader's VM stands still while the group is held for its change. Its own rank cannot be asked, but it is
-// armed last, once all others are confirmed to be: while one of them is prepared by that leader and neither armed nor
-// about to be, and obeys a newer leader now, it never will be. So what others were ordered is taken back, and the pass
-// let begin.
-group_resolution resolveWithoutLeader(const known_states& known, rank_number missing)
+// Resolves a group whose previous leader's VM has stalled while a pass is held for its change. That leader's rank does
+// not answer, but it is armed last, after all others are confirmed to be armed. If another rank has prepared the
+// change, is neither armed nor about to be, and obeys a newer leader, the change can no longer complete and the missing
+// rank is never armed. It is then safe to disarm the others and release the pass.
+group_resolution resolveWithoutLeader(const reported_states& reported, rank_number missing)
 {
-    const auto& first = *known.front();
+    const auto& first = *reported.front();
     group_resolution resolution;
-    addHolds(known, resolution);
-    const bool isOneChange = std::all_of(known.begin(), known.end(), [&](const auto* state) {
+    addHolds(reported, resolution);
+    const bool isOneChange = std::all_of(reported.begin(), reported.end(), [&](const auto* state) {
         return state->preparedVersion == first.preparedVersion && state->preparedTerm == first.preparedTerm
             && state->mapVersion == first.mapVersion && !state->isArmUncertain && state->term > first.preparedTerm;
     });
     if (resolution.heldStep == 0 || !isOneChange || first.preparedTerm == 0 || first.preparedVersion == 0
         || first.preparedVersion == first.mapVersion || leaderOf(first.preparedTerm) != missing)
-        return waitFor("a rank could not be asked");
+        return waitFor("a rank did not answer");
     const auto armed
-        = std::count_if(known.begin(), known.end(), [](const auto* state) { return state->armedVersion != 0; });
-    if (static_cast<std::size_t>(armed) == known.size())
-        return waitFor("the former leader may have armed its own rank");
+        = std::count_if(reported.begin(), reported.end(), [](const auto* state) { return state->armedVersion != 0; });
+    if (static_cast<std::size_t>(armed) == reported.size())
+        return waitFor("the previous leader may have armed its own rank");
     resolution.target = { first.preparedVersion, resolution.heldStep };
-    resolution.kind = armed > 0 ? group_todo::DisarmWithoutLeader : group_todo::ReleaseWithoutLeader;
+    resolution.kind = armed > 0 ? group_action::DisarmWithoutLeader : group_action::ReleaseWithoutLeader;
     return resolution;
 }
 
@@ -91,7 +92,7 @@
 
 group_resolution resolve(const std::vector<std::optional<wire::rank_state>>& states)
 {
-    known_states known;
+    reported_states reported;
     std::vector<rank_number> missing;
     for (rank_number rank = 0; rank < states.size(); ++rank) {
         const auto& state = states[rank];
@@ -99,43 +100,43 @@
             missing.push_back(rank);
             continue;
         }
-        if (!state->isOpen || (!known.empty() && state->epoch != known.front()->epoch))
-            return waitFor("the group is not whole");
-        known.push_back(&*state);
+        if (!state->isOpen || (!reported.empty() && state->epoch != reported.front()->epoch))
+            return waitFor("the group is incomplete");
+        reported.push_back(&*state);
     }
-    if (known.empty())
-        return waitFor("no rank is known");
+    if (reported.empty())
+        return waitFor("no rank answered");
     if (missing.size() > 1)
-        return waitFor("ranks could not be asked");
+        return waitFor("several ranks did not answer");
     if (!missing.empty())
-        return resolveWithoutLeader(known, missing.front());
+        return resolveWithoutLeader(reported, missing.front());
     group_resolution resolution;
-    addHolds(known, resolution);
-    if (const auto armed = findArmed(known)) {
+    addHolds(reported, resolution);
+    if (const auto armed = findArmed(reported)) {
         resolution.target = *armed;
-        const bool allArmed
-            = std::all_of(known.begin(), known.end(), [&](const auto* state) { return isArmedFor(*state, *armed); });
+        const bool allArmed = std::all_of(
+            reported.begin(), reported.end(), [&](const auto* state) { return isArmedFor(*state, *armed); });
         if (!allArmed)
-            resolution.kind = mustDisarm(known, *armed) ? group_todo::Disarm : group_todo::Arm;
+            resolution.kind = needsDisarm(reported, *armed) ? group_action::Disarm : group_action::Arm;
         else if (resolution.heldStep != 0)
-            resolution.kind = group_todo::Release;
+            resolution.kind = group_action::Release;
         else
-            return waitFor("a switch is about to happen");
+            return waitFor("all ranks are armed for a pass that has not begun");
         return resolution;
     }
     if (resolution.heldStep != 0) {
-        // Whoever held the pass may have ordered a switch that no report shows yet. It orders none before the same
-        // version is prepared everywhere.
-        const auto version = known.front()->preparedVersion;
-        resolution.kind = allPrepared(known, version) ? group_todo::Arm : group_todo::Release;
+        // The process that held the pass may have ordered a switch that no report shows yet. It orders a switch only
+        // after the same version is prepared on every rank.
+        const auto version = reported.front()->preparedVersion;
+        resolution.kind = allPrepared(reported, version) ? group_action::Arm : group_action::Release;
         resolution.target = { version, resolution.heldStep };
         return resolution;
     }
-    for (const auto* state : known) {
-        if (state->mapVersion != known.front()->mapVersion)
-            return waitFor("the ranks were asked while a switch happened");
+    for (const auto* state : reported) {
+        if (state->mapVersion != reported.front()->mapVersion)
+            return waitFor("the ranks answered during a switch");
     }
-    resolution.kind = group_todo::Ready;
+    resolution.kind = group_action::Ready;
     return resolution;
 }
 
--- a/coltsfootbend/group/group_state_test.cpp
+++ b/coltsfootbend/group/group_state_test.cpp
@@ -32,50 +32,50 @@
         state->preparedVersion = version;
 }
 
-void armOne(states& all, std::size_t rank, armed_switch target)
+void armRank(states& all, std::size_t rank, armed_switch target)
 {
     all[rank]->armedVersion = target.version;
     all[rank]->armedStep = target.step;
 }
 
-TEST(GroupState, IsReadyWhenNothingIsUnderWay) { EXPECT_EQ(resolve(threeRanks()).kind, group_todo::Ready); }
+TEST(GroupState, IsReadyWithoutAChangeInProgress) { EXPECT_EQ(resolve(threeRanks()).kind, group_action::Ready); }
 
-TEST(GroupState, WaitsForARankThatCannotBeAsked)
+TEST(GroupState, WaitsForARankThatDoesNotAnswer)
 {
     auto all = threeRanks();
     all[1].reset();
-    EXPECT_EQ(resolve(all).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(all).kind, group_action::Wait);
 }
 
-TEST(GroupState, WaitsWhileTheGroupIsNotWhole)
+TEST(GroupState, WaitsWhileTheGroupIsIncomplete)
 {
     auto all = threeRanks();
     all[2]->isOpen = false;
-    EXPECT_EQ(resolve(all).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(all).kind, group_action::Wait);
     all = threeRanks();
     all[2]->epoch = 3;
-    EXPECT_EQ(resolve(all).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(all).kind, group_action::Wait);
 }
 
-TEST(GroupState, OneArmedRankObligesAllToFollow)
+TEST(GroupState, OneArmedRankRequiresArmingAll)
 {
     auto all = threeRanks();
     prepareAll(all, 7);
-    armOne(all, 1, { 7, 110 });
+    armRank(all, 1, { 7, 110 });
     all[0]->heldStep = 110;
-    const auto todo = resolve(all);
-    EXPECT_EQ(todo.kind, group_todo::Arm);
-    EXPECT_EQ(todo.target.version, 7U);
-    EXPECT_EQ(todo.target.step, 110U);
+    const auto resolution = resolve(all);
+    EXPECT_EQ(resolution.kind, group_action::Arm);
+    EXPECT_EQ(resolution.target.version, 7U);
+    EXPECT_EQ(resolution.target.step, 110U);
 }
 
 TEST(GroupState, AnUncertainOrderCountsAsArmed)
 {
     auto all = threeRanks();
     prepareAll(all, 7);
-    armOne(all, 1, { 7, 110 });
+    armRank(all, 1, { 7, 110 });
     all[1]->isArmUncertain = true;
-    EXPECT_EQ(resolve(all).kind, group_todo::Arm);
+    EXPECT_EQ(resolve(all).kind, group_action::Arm);
 }
 
 TEST(GroupState, IsReleasedOnceAllAreArmed)
@@ -83,61 +83,61 @@
     auto all = threeRanks();
     prepareAll(all, 7);
     for (std::size_t rank = 0; rank < 3; ++rank)
-        armOne(all, rank, { 7, 110 });
+        armRank(all, rank, { 7, 110 });
     all[0]->heldStep = 110;
-    EXPECT_EQ(resolve(all).kind, group_todo::Release);
+    EXPECT_EQ(resolve(all).kind, group_action::Release);
     all[0]->heldStep = 0;
-    EXPECT_EQ(resolve(all).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(all).kind, group_action::Wait);
 }
 
-// The order at the last rank was not answered: letting the pass begin could leave that rank behind.
+// One rank's arm order was not answered. If the pass were released, that rank could continue with the earlier map.
 TEST(GroupState, IsNotReleasedWhileOneRankIsUncertain)
 {
     auto all = threeRanks();
     prepareAll(all, 7);
     for (std::size_t rank = 0; rank < 3; ++rank)
-        armOne(all, rank, { 7, 110 });
+        armRank(all, rank, { 7, 110 });
     all[0]->heldStep = 110;
     all[0]->isArmUncertain = true;
-    EXPECT_EQ(resolve(all).kind, group_todo::Arm);
+    EXPECT_EQ(resolve(all).kind, group_action::Arm);
 }
 
-TEST(GroupState, AHoldWithAMapPreparedEverywhereIsCarriedOn)
+TEST(GroupState, AHoldWithAMapPreparedOnAllRanksIsArmed)
 {
     auto all = threeRanks();
     prepareAll(all, 7);
     all[2]->heldStep = 110;
-    const auto todo = resolve(all);
-    EXPECT_EQ(todo.kind, group_todo::Arm);
-    EXPECT_EQ(todo.target.version, 7U);
-    EXPECT_EQ(todo.target.step, 110U);
+    const auto resolution = resolve(all);
+    EXPECT_EQ(resolution.kind, group_action::Arm);
+    EXPECT_EQ(resolution.target.version, 7U);
+    EXPECT_EQ(resolution.target.step, 110U);
 }
 
 TEST(GroupState, AHoldThatBelongsToNoChangeIsReleased)
 {
     auto all = threeRanks();
     all[2]->heldStep = 110;
-    EXPECT_EQ(resolve(all).kind, group_todo::Release);
+    EXPECT_EQ(resolve(all).kind, group_action::Release);
     all[0]->preparedVersion = 7;
-    EXPECT_EQ(resolve(all).kind, group_todo::Release);
+    EXPECT_EQ(resolve(all).kind, group_action::Release);
 }
 
-TEST(GroupState, ASwitchThatOneRankCannotMakeIsTakenBack)
+TEST(GroupState, ASwitchThatOneRankCannotMakeIsDisarmed)
 {
     auto all = threeRanks();
     prepareAll(all, 7);
-    armOne(all, 1, { 7, 110 });
+    armRank(all, 1, { 7, 110 });
     all[0]->heldStep = 110;
     all[2]->preparedVersion = 9;
-    EXPECT_EQ(resolve(all).kind, group_todo::Disarm);
+    EXPECT_EQ(resolve(all).kind, group_action::Disarm);
     all[1]->isArmUncertain = true;
-    EXPECT_EQ(resolve(all).kind, group_todo::Arm);
+    EXPECT_EQ(resolve(all).kind, group_action::Arm);
 }
 
-// Rank 0 led term 1 and stands still; the others obey a newer leader.
-class frozen_leader_test : public testing::Test {
+// Rank 0 led in the first term and is stalled; the other ranks obey a newer leader.
+class stalled_leader_test : public testing::Test {
 protected:
-    frozen_leader_test()
+    stalled_leader_test()
     {
         prepareAll(m_states, 6);
         for (auto& state : m_states) {
@@ -151,50 +151,50 @@
     states m_states = threeRanks();
 };
 
-TEST_F(frozen_leader_test, ItsHoldIsReleasedWhileNobodyIsArmed)
+TEST_F(stalled_leader_test, HoldIsReleasedWhileNoRankIsArmed)
 {
-    const auto todo = resolve(m_states);
-    EXPECT_EQ(todo.kind, group_todo::ReleaseWithoutLeader);
-    EXPECT_EQ(todo.heldStep, 110U);
+    const auto resolution = resolve(m_states);
+    EXPECT_EQ(resolution.kind, group_action::ReleaseWithoutLeader);
+    EXPECT_EQ(resolution.heldStep, 110U);
 }
 
-TEST_F(frozen_leader_test, WhatSomeWereOrderedIsTakenBackFirst)
+TEST_F(stalled_leader_test, ArmedRanksAreDisarmedFirst)
 {
-    armOne(m_states, 1, { 6, 110 });
-    EXPECT_EQ(resolve(m_states).kind, group_todo::DisarmWithoutLeader);
+    armRank(m_states, 1, { 6, 110 });
+    EXPECT_EQ(resolve(m_states).kind, group_action::DisarmWithoutLeader);
 }
 
-TEST_F(frozen_leader_test, WithAllOthersArmedItMayBeArmedItself)
+TEST_F(stalled_leader_test, WaitsWithAllOtherRanksArmed)
 {
-    armOne(m_states, 1, { 6, 110 });
-    armOne(m_states, 2, { 6, 110 });
-    EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
+    armRank(m_states, 1, { 6, 110 });
+    armRank(m_states, 2, { 6, 110 });
+    EXPECT_EQ(resolve(m_states).kind, group_action::Wait);
 }
 
-TEST_F(frozen_leader_test, AnOrderThatMayStillBeCarriedOutForbidsIt)
+TEST_F(stalled_leader_test, WaitsWhileAnArmOrderIsUncertain)
 {
-    armOne(m_states, 1, { 6, 110 });
+    armRank(m_states, 1, { 6, 110 });
     m_states[1]->isArmUncertain = true;
-    EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(m_states).kind, group_action::Wait);
 }
 
-TEST_F(frozen_leader_test, AnotherRankThanTheLeadersForbidsIt)
+TEST_F(stalled_leader_test, WaitsIfTheMissingRankIsNotTheLeader)
 {
     for (std::size_t rank : { 1U, 2U })
         m_states[rank]->preparedTerm = termAfter(0, 2);
-    EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(m_states).kind, group_action::Wait);
 }
 
-TEST_F(frozen_leader_test, ARankWhoseMemoryIsGoneForbidsIt)
+TEST_F(stalled_leader_test, WaitsIfARankLostItsPreparedTerm)
 {
     m_states[2]->preparedTerm = 0;
-    EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(m_states).kind, group_action::Wait);
 }
 
-TEST_F(frozen_leader_test, ARankThatStillObeysItForbidsIt)
+TEST_F(stalled_leader_test, WaitsWhileARankObeysTheStalledLeader)
 {
     m_states[2]->term = m_states[2]->preparedTerm;
-    EXPECT_EQ(resolve(m_states).kind, group_todo::Wait);
+    EXPECT_EQ(resolve(m_states).kind, group_action::Wait);
 }
 
 } // namespace
--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -1,6 +1,6 @@
-// Changes of map in large groups whose agents sit beside links of 6 Mbit/s in several data centres, with the real
-// leader, participants and relays. Only the links and engines are models. The checks hold on a busy machine as well;
-// how long a change took on this one is printed.
+// Tests map changes in large groups whose agents have links of 6 Mbit/s in several data centres, with the real leader,
+// participants and relays. Only links and engines are modelled. The checks also hold on a busy machine; the measured
+// duration of each change is printed.
 
 #include "coltsfootbend/group/map_leader.h"
 #include "coltsfootbend/group/relay_peers.h"
@@ -19,17 +19,17 @@
 
 constexpr std::uint32_t sets = 16;
 constexpr std::uint32_t expertsPerRank = 2;
-constexpr double bytesPerMs = 6e6 / 8 / 1000;
-constexpr duration withinDataCentre = 100us;
-constexpr duration betweenDataCentres = 900us;
+constexpr double bytesPerMillisecond = 6e6 / 8 / 1000;
+constexpr duration latencyWithinDataCentre = 100us;
+constexpr duration latencyBetweenDataCentres = 900us;
 constexpr duration passTime = 40ms;
-// Besides the bytes of a message: framing, acknowledgements.
+// Bytes that framing and acknowledgements add to each message.
 constexpr std::size_t messageOverhead = 120;
 
-// What one agent's link carries, in each direction one message after the other.
+// One agent's link, which transfers one message at a time in each direction.
 struct model_link {
-    time_point sendsAgainAt {};
-    time_point receivesAgainAt {};
+    time_point sendIdleAt {};
+    time_point receiveIdleAt {};
     std::size_t sent = 0;
     std::size_t received = 0;
 };
@@ -58,16 +58,16 @@
     // Blocks for as long as `bytes` take from one agent to another.
     void transfer(std::size_t from, std::size_t to, std::size_t bytes)
     {
-        const auto takes = fromMilliseconds(static_cast<double>(bytes) / bytesPerMs);
-        const auto delay = dataCentreOf(from) == dataCentreOf(to) ? withinDataCentre : betweenDataCentres;
+        const auto transferTime = fromMilliseconds(static_cast<double>(bytes) / bytesPerMillisecond);
+        const auto delay = dataCentreOf(from) == dataCentreOf(to) ? latencyWithinDataCentre : latencyBetweenDataCentres;
         auto& source = links[from];
         auto& sink = links[to];
         source.sent += bytes;
         sink.received += bytes;
-        source.sendsAgainAt = std::max<time_point>(clock_type::now(), source.sendsAgainAt) + takes;
-        const auto begins = std::max<time_point>(source.sendsAgainAt - takes + delay, sink.receivesAgainAt);
-        sink.receivesAgainAt = begins + takes;
-        runtime.sleepUntil(sink.receivesAgainAt);
+        source.sendIdleAt = std::max<time_point>(clock_type::now(), source.sendIdleAt) + transferTime;
+        const auto begins = std::max<time_point>(source.sendIdleAt - transferTime + delay, sink.receiveIdleAt);
+        sink.receiveIdleAt = begins + transferTime;
+        runtime.sleepUntil(sink.receiveIdleAt);
     }
 
     void transfer(std::size_t from, std::size_t to, const wire::body& content)
@@ -76,7 +76,7 @@
         transfer(from, to, wire::encode(message).size() + messageOverhead);
     }
 
-    // Of the maps in use under the demand of this moment.
+    // Returns the mean skew of the maps in use under the current demand.
     double skew() const
     {
         const auto ranks = engines.ranks();
@@ -151,7 +151,7 @@
         , carrier(group.runtime, relay)
         , leader(group.runtime, participant, carrier,
               map_leader::options {
-                  .planner = { .placesPerRank = 3, .newPerChange = 1, .gainPerMove = 0.0005 },
+                  .planner = { .placesPerRank = 3, .maxNewExpertsPerSet = 1, .gainPerMove = 0.0005 },
                   .sets = sets,
                   .experts = group.engines.ranks() * expertsPerRank,
               },
@@ -194,11 +194,11 @@
 }
 
 struct change_figures {
-    duration untilGood {}; // From the shift of demand until a map is in force that fits it.
-    bool isGood = false;
+    duration timeToFit {}; // Time from the shift of demand until a fitting map is in use.
+    bool isFitting = false;
     int mixedPasses = 0;
-    double leaderBytesPerSecond = 0; // Sent and received, over the whole run.
-    double busiestBytesPerSecond = 0; // Of any other agent.
+    double leaderBytesPerSecond = 0; // Sent and received, averaged over the whole run.
+    double busiestBytesPerSecond = 0; // Highest rate of any other agent.
 };
 
 double bytesPerSecond(const model_link& link, duration length)
@@ -206,12 +206,12 @@
     return static_cast<double>(link.sent + link.received) / toMilliseconds(length) * 1000;
 }
 
-// Lets a group settle, shifts its demand and waits for the map that fits.
-change_figures shiftDemand(rank_number ranks, std::uint32_t dataCentres)
+// Waits until a group is stable, shifts its demand and waits for a fitting map.
+change_figures measureShift(rank_number ranks, std::uint32_t dataCentres)
 {
-    constexpr double goodSkew = 1.6;
-    constexpr duration settling = 4s;
-    constexpr duration longestWait = 4s;
+    constexpr double fittingSkew = 1.6;
+    constexpr duration warmUp = 4s;
+    constexpr duration maxWait = 4s;
     change_figures figures;
     std::thread([&] {
         fiber_runtime runtime;
@@ -219,17 +219,17 @@
             large_group group(runtime, ranks, dataCentres);
             for (rank_number rank = 0; rank < ranks; ++rank)
                 group.agents.push_back(std::make_unique<large_agent>(group, rank));
-            std::vector<std::shared_ptr<rank_channel>> others;
+            std::vector<std::shared_ptr<rank_channel>> peers;
             for (rank_number rank = 1; rank < ranks; ++rank)
-                others.push_back(std::make_shared<link_channel>(group, 0, rank));
-            group.agents[0]->leader.setOthers(std::move(others));
+                peers.push_back(std::make_shared<link_channel>(group, 0, rank));
+            group.agents[0]->leader.setPeers(std::move(peers));
             bool isOver = false;
             int open = 2;
             const auto begunAt = clock_type::now();
             runtime.spawn([&] {
                 const auto term = group.agents[0]->participant.claim(0);
                 while (!isOver)
-                    runtime.sleepFor(std::max<duration>(group.agents[0]->leader.lead(term), 1ms));
+                    runtime.sleepFor(std::max<duration>(group.agents[0]->leader.runRound(term), 1ms));
                 --open;
             });
             runtime.spawn([&] {
@@ -239,14 +239,14 @@
                 }
                 --open;
             });
-            runtime.sleepFor(settling);
+            runtime.sleepFor(warmUp);
             group.engines.shiftDemand();
             const auto shiftedAt = clock_type::now();
-            while (!figures.isGood && clock_type::now() < shiftedAt + longestWait) {
+            while (!figures.isFitting && clock_type::now() < shiftedAt + maxWait) {
                 runtime.sleepFor(10ms);
-                figures.isGood = group.skew() <= goodSkew;
+                figures.isFitting = group.skew() <= fittingSkew;
             }
-            figures.untilGood = clock_type::now() - shiftedAt;
+            figures.timeToFit = clock_type::now() - shiftedAt;
             figures.mixedPasses = group.engines.mixedPasses();
             const auto length = clock_type::now() - begunAt;
             figures.leaderBytesPerSecond = bytesPerSecond(group.links[0], length);
@@ -256,35 +256,35 @@
             isOver = true;
             while (open > 0)
                 runtime.sleepFor(10ms);
-            runtime.sleepFor(1s); // What is under way ends before the agents do.
+            runtime.sleepFor(1s); // Lets pending calls end before the agents are destroyed.
             runtime.stop();
         });
         runtime.run();
     }).join();
     std::printf("%u ranks: good after %.0f ms, leader %.1f KB/s, busiest other %.1f KB/s\n", ranks,
-        toMilliseconds(figures.untilGood), figures.leaderBytesPerSecond / 1000, figures.busiestBytesPerSecond / 1000);
+        toMilliseconds(figures.timeToFit), figures.leaderBytesPerSecond / 1000, figures.busiestBytesPerSecond / 1000);
     return figures;
 }
 
-// Where the leader spoke with all ranks itself, its link was busy for 1.5 s with each change at 129 ranks, and no map
-// that fits was in force in 4 s.
-TEST(LargeGroup, AMapThatFitsFollowsAShiftOfDemand)
+// Guards against a leader that exchanges all messages with every rank itself. With 129 ranks this occupies its link for
+// 1.5 s in each change, and no fitting map is in use within 4 s.
+TEST(LargeGroup, UsesAFittingMapSoonAfterAShiftOfDemand)
 {
     for (const auto& [ranks, dataCentres] : { std::pair { 63U, 3U }, { 129U, 5U }, { 256U, 9U } }) {
-        const auto figures = shiftDemand(ranks, dataCentres);
-        EXPECT_TRUE(figures.isGood) << ranks << " ranks";
+        const auto figures = measureShift(ranks, dataCentres);
+        EXPECT_TRUE(figures.isFitting) << ranks << " ranks";
         EXPECT_EQ(figures.mixedPasses, 0) << ranks << " ranks";
     }
 }
 
-// Also where each message grows with the ranks, as rows that change and counts of experts do.
-TEST(LargeGroup, WhatOneAgentSendsAndReceivesGrowsMoreSlowlyThanTheGroup)
+// Holds although the size of each message grows with the number of ranks, as changed rows and expert counts do.
+TEST(LargeGroup, TrafficOfOneAgentGrowsMoreSlowlyThanTheGroup)
 {
-    const auto small = shiftDemand(64, 4);
-    const auto large = shiftDemand(256, 4);
-    constexpr double growth = 4; // Of the ranks.
-    EXPECT_LT(large.leaderBytesPerSecond, growth * small.leaderBytesPerSecond);
-    EXPECT_LT(large.busiestBytesPerSecond, growth * small.busiestBytesPerSecond);
+    const auto small = measureShift(64, 4);
+    const auto large = measureShift(256, 4);
+    constexpr double rankRatio = 4; // Ratio of the numbers of ranks.
+    EXPECT_LT(large.leaderBytesPerSecond, rankRatio * small.leaderBytesPerSecond);
+    EXPECT_LT(large.busiestBytesPerSecond, rankRatio * small.busiestBytesPerSecond);
 }
 
 } // namespace
--- a/coltsfootbend/group/map_coordinator.h
+++ b/coltsfootbend/group/map_coordinator.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// Brings one map change about in a group: prepare, promise, decide. Any process may run one, several may at once, and
-// one that was paused may wake: safety is the ranks'. It asks again until every rank has answered, finishes what an
-// earlier coordinator had decided, and gives up cleanly while nothing is decided. Deterministic. One object for one
-// epoch.
+// Drives one map change in a group through its three phases: prepare, promise, decide. Any process may run a
+// coordinator, several may run concurrently, and a paused one may resume: the ranks guarantee safety. Repeats requests
+// until every rank has answered, completes what an earlier coordinator had decided, and abandons the change cleanly
+// while nothing is decided. Deterministic. One object serves one epoch.
 //
-//     map_coordinator change({ .epoch = epoch, .map = map, .ranks = 256, .giveUpAt = deadline });
+//     map_coordinator change({ .epoch = epoch, .map = map, .ranks = 256, .decisionDeadline = deadline });
 //     for (const auto& order : change.tick(now)) send(order.rank, order.message);
 //     for (const auto& order : change.handle(now, rank, message)) ...
 
@@ -17,67 +17,73 @@
 
 namespace coltsfootbend {
 
+// A message to be sent to one rank.
 struct coordinator_order {
     rank_number rank = 0;
     coordinator_message message;
 };
 
+// The coordinator of one epoch.
 class map_coordinator {
 public:
     enum class state {
-        Preparing,
-        Proposing,
-        Deciding,
-        Done, // Every rank has taken the decision.
-        GivenUp, // Nothing was decided by this epoch.
-        Overtaken, // A rank has promised a higher epoch, or begun a new life: a higher epoch has to finish this.
+        Preparing, // The ranks load the map.
+        Proposing, // The ranks promise a limit of their steps.
+        Deciding, // The decision is being sent to the ranks.
+        Done, // Every rank uses the decided schedule.
+        Abandoned, // The deadline passed before this epoch decided.
+        Superseded, // A rank has promised a higher epoch, or has restarted: a higher epoch has to complete the change.
     };
 
     struct options {
         map_epoch epoch;
         map_version map;
         rank_number ranks = 0;
-        // Until a decision is made: when to give up.
-        time_point giveUpAt {};
-        duration askAgainAfter = std::chrono::milliseconds(50);
+        // Time at which the change is abandoned if nothing is decided.
+        time_point decisionDeadline {};
+        // Interval at which requests without an answer are repeated.
+        duration retryInterval = std::chrono::milliseconds(50);
     };
 
     explicit map_coordinator(const options&);
 
-    // Returns what to send now. Call at the start and from time to time.
+    // Returns the messages to send now. Call at the start and periodically afterwards.
     std::vector<coordinator_order> tick(time_point now);
 
-    // Takes one rank's answer.
+    // Processes one rank's answer. Returns the messages to send in response.
     std::vector<coordinator_order> handle(time_point now, rank_number, const rank_message&);
 
     state current() const { return m_state; }
-    // The first step under the new map, once decided.
-    step_number switchAt() const { return m_switchAt; }
-    // The highest epoch heard of; the next one must be higher.
-    map_epoch highestSeen() const { return m_highestSeen; }
+    // Returns the first step under the new map; 0 before the decision.
+    step_number switchStep() const { return m_switchStep; }
+    // Returns the highest epoch seen. The next epoch must be higher.
+    map_epoch highestEpochSeen() const { return m_highestEpochSeen; }
 
 private:
     struct rank_state {
         bool loaded = false;
         std::optional<switch_promised> promise;
-        bool taken = false;
+        bool applied = false;
     };
 
     void on(rank_number, const map_loaded&);
     void on(rank_number, const switch_promised&);
-    void on(rank_number, const switch_taken&);
+    void on(rank_number, const switch_applied&);
     void on(rank_number, const switch_refused&);
+    // Builds the decision from the promises of all ranks.
     void decide();
-    std::vector<coordinator_order> ask(time_point now);
-    std::vector<coordinator_order> giveUp();
+    // Returns the current phase's request for every rank that has not answered it.
+    std::vector<coordinator_order> pendingRequests(time_point now);
+    // Ends the change without a decision, and returns the messages that lift the promises.
+    std::vector<coordinator_order> abandon();
 
     const options m_options;
     state m_state = state::Preparing;
     std::vector<rank_state> m_ranks;
     std::optional<decide_switch> m_decision;
-    step_number m_switchAt = 0;
-    map_epoch m_highestSeen;
-    time_point m_askAgainAt {};
+    step_number m_switchStep = 0;
+    map_epoch m_highestEpochSeen;
+    time_point m_retryAt {};
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/map_leader.h
+++ b/coltsfootbend/group/map_leader.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Leads one group's changes of its expert map: gathers what all ranks report, finishes what a former leader began, and
-// when the demand has moved away from the map plans a better one and brings it into use at one pass on all ranks. Every
-// rank has to take part, so two leaders cannot both get anything done. Blocks the calling fiber. Not for a rank's own
-// part: see `group/map_participant.h`.
+// Runs the leader's side of expert map changes in one group. Each round collects the state of all ranks, completes a
+// change that a previous leader left unfinished and, when demand no longer fits the map in use, plans a better map and
+// switches all ranks to it at the same pass. Every rank has to take part in a change, so two concurrent leaders cannot
+// both complete one. Blocks the calling fiber. Not for a rank's own part in a change: see `group/map_participant.h`.
 //
 //     while (participant.term() == term)
-//         runtime.sleepFor(leader.lead(term));
+//         runtime.sleepFor(leader.runRound(term));
 
 #include "coltsfootbend/group/demand_estimator.h"
 #include "coltsfootbend/group/group_state.h"
@@ -20,46 +20,54 @@
 
 namespace coltsfootbend {
 
+// The leader of one group's map changes, in use while the local rank holds the highest term. "Local" means the rank of
+// this process.
 class map_leader {
 public:
     struct options {
         map_planner::options planner;
+        // Number of expert sets of the model, and of experts in each set.
         std::uint32_t sets = 0;
         std::uint32_t experts = 0;
-        // Other ranks that are asked for their counts: enough to tell what is in demand, few enough for their links.
-        std::uint32_t demandSources = 16;
-        // Requests that one rank runs at once.
+        // Maximum number of other ranks whose expert counts are requested: enough to estimate demand, few enough not to
+        // load the links.
+        std::uint32_t maxDemandSources = 16;
+        // Requests that one rank runs concurrently.
         std::uint32_t slots = 1;
-        // Between two rounds of counts.
-        duration cycle = std::chrono::milliseconds(200);
-        // A change has to lower the mean skew by this much.
-        double leastGain = 0.06;
-        duration beatEvery = std::chrono::milliseconds(400);
-        duration queryLimit = std::chrono::milliseconds(300);
-        duration prepareLimit = std::chrono::milliseconds(2500);
-        duration armLimit = std::chrono::milliseconds(800);
-        // The pass of a switch is chosen so far ahead that all ranks are armed before it, and nothing waits. Follows
-        // what arming took lately, between these.
-        duration leastArmingTime = std::chrono::milliseconds(80);
-        duration mostArmingTime = std::chrono::milliseconds(900);
+        // Interval between two rounds that collect expert counts.
+        duration roundInterval = std::chrono::milliseconds(200);
+        // Minimum reduction of the mean skew for which a change is made.
+        double minGain = 0.06;
+        // Interval of the heartbeats by which the ranks know during a long step that the leader is alive.
+        duration heartbeatInterval = std::chrono::milliseconds(400);
+        // Timeout of a query to all ranks.
+        duration queryTimeout = std::chrono::milliseconds(300);
+        // Timeout of preparing a map on all ranks, which includes copying experts.
+        duration prepareTimeout = std::chrono::milliseconds(2500);
+        // Timeout of an arm or disarm order to all ranks.
+        duration armTimeout = std::chrono::milliseconds(800);
+        // Bounds of the expected arming time. The pass of a switch is chosen far enough ahead that all ranks are armed
+        // before it and no pass has to wait; the distance follows the recently observed arming times.
+        duration minArmingTime = std::chrono::milliseconds(80);
+        duration maxArmingTime = std::chrono::milliseconds(900);
     };
 
-    // `carrier`: by which ranks are asked all at once; must outlive the leader.
-    map_leader(
-        fiber_runtime&, map_participant& own, order_carrier&, const options&, std::minstd_rand::result_type seed);
+    // `carrier` sends orders to many ranks at once; it must outlive the leader.
+    map_leader(fiber_runtime&, map_participant& participant, order_carrier&, const options&,
+        std::minstd_rand::result_type seed);
 
-    // The other ranks of the group; may be called with more, of other groups, which are asked and never ordered. Takes
-    // effect at the next round.
-    void setOthers(std::vector<std::shared_ptr<rank_channel>> others) { m_others = std::move(others); }
+    // Sets the channels to the other ranks of the group. Ranks of other groups may be included: they are queried but
+    // receive no orders. Takes effect at the next round.
+    void setPeers(std::vector<std::shared_ptr<rank_channel>> peers) { m_peers = std::move(peers); }
 
-    // Does one round as leader with `term`. Returns after which time the next one is due.
-    duration lead(leader_term term);
+    // Runs one round as leader with `term`. Returns the delay until the next round is due.
+    duration runRound(leader_term term);
 
-    // True when all ranks of the group answered the last round.
-    bool isComplete() const { return m_isComplete; }
+    // Returns whether all ranks of the group answered the last round.
+    bool allRanksAnswered() const { return m_allRanksAnswered; }
 
 private:
-    // Another rank that has told of the leader's own formation in this round.
+    // Another rank that reported the leader's own formation in this round.
     struct member {
         rank_number rank = 0;
         std::shared_ptr<rank_channel> channel;
@@ -67,87 +75,110 @@
 
     using states_by_rank = std::vector<std::optional<wire::rank_state>>;
 
-    states_by_rank gather(duration limit);
-    // Speaks to all ranks while a long step is under way, so that nobody takes the leader for dead.
-    void beat();
-    // What every query to a rank of the own formation names.
-    wire::order_scope scopeOf(rank_number) const;
-    // The same of the next order.
-    wire::order_scope nextScope();
-    // Asks the other ranks all at the same time, and takes note of newer leaders.
-    carried_order askAll(const wire::rank_order&, const std::vector<addressee>&, duration limit);
-    // Orders the own rank and `members` at the same time. The own rank's answer comes first.
+    // Queries all ranks, and updates the list of members of the leader's formation.
+    states_by_rank collectStates(duration timeout);
+    // Sends a query to all ranks during a long step, so that they do not assume that the leader has failed.
+    void sendHeartbeat();
+    // Returns the scope that every query to a rank of the leader's formation carries.
+    wire::order_scope queryScope(rank_number) const;
+    // Returns the scope of the next order, with a new serial number.
+    wire::order_scope nextOrderScope();
+    // Sends `order` to all addressees concurrently, and yields to a newer leader whose term an answer reports.
+    carried_order sendToAll(const wire::rank_order&, const std::vector<addressee>&, duration timeout);
+    // Sends an order to the local rank and to `members` concurrently. The local rank's answer is the first element.
     template <typename Order>
-    std::vector<result<wire::rank_state>> orderAll(Order, const std::vector<member>& members, duration limit);
-    // Orders all members but the own rank.
-    template <typename Order> std::vector<result<wire::rank_state>> orderOthers(Order, duration limit);
-    void chooseDemandSources(std::vector<addressee>&) const;
+    std::vector<result<wire::rank_state>> orderAll(Order, const std::vector<member>& members, duration timeout);
+    // Sends an order to all members, without the local rank.
+    template <typename Order> std::vector<result<wire::rank_state>> orderMembers(Order, duration timeout);
+    // Marks the addressees whose expert counts are requested.
+    void selectDemandSources(std::vector<addressee>&) const;
     std::vector<addressee> addresseesOf(const std::vector<member>&) const;
-    void noteTerm(const wire::rank_state&);
-    void learn(const states_by_rank&);
-    // Takes the time of passes from how far the group has come.
-    void notePasses(pass_number step);
-    void noteWaiting(const group_resolution&, const states_by_rank&);
-    // A group that formed anew, or with restarted engines, has its first map again.
-    void noteFormation(const states_by_rank&);
-    bool isMapKnown(const wire::rank_state& own) const;
+    // Yields to the leader of a higher term that `state` reports.
+    void yieldToHigherTerm(const wire::rank_state&);
+    // Updates the demand estimate, the formation and the pass duration from a round of states.
+    void updateEstimates(const states_by_rank&);
+    // Updates the estimated pass duration from the number of passes begun since the last measurement.
+    void updatePassDuration(pass_number step);
+    // Logs why the leader has to wait, once for each change of the reason.
+    void logWaitReason(const group_resolution&, const states_by_rank&);
+    // Drops the known map when the group has formed anew or an engine has restarted: such a group uses its initial map
+    // again.
+    void updateFormation(const states_by_rank&);
+    // Returns whether `m_map` is the map in use that `state` reports.
+    bool isMapKnown(const wire::rank_state& state) const;
+    // Plans a map for the estimated demand and brings it into use if the gain is sufficient. Returns the delay until
+    // the next round.
     duration planAndChange(const states_by_rank&);
-    // By how much dearer a copy is than in a busy group: skew costs only where ranks are short of time.
-    double idleFactor(const states_by_rank&) const;
-    void change(const states_by_rank&, const map_plan&);
-    // Prepares `map` on all ranks. Returns the latest pass that any of them has begun; none when one has not got it.
+    // Returns the factor by which the required gain is raised in a group with idle capacity: skew costs time only where
+    // ranks are busy.
+    double idleGainFactor(const states_by_rank&) const;
+    // Prepares, holds, arms and releases one map change.
+    void executeChange(const states_by_rank&, const map_plan&);
+    // Prepares `map` on all ranks. Returns the latest pass that any of them has begun, or none if any rank did not
+    // prepare it.
     std::optional<pass_number> prepareAll(engine_map_version version, const group_map& map);
-    std::optional<pass_number> holdAhead(pass_number step);
-    // Holds the pass `step` at the rank of `channel`. Returns the rank's state afterwards.
-    result<wire::rank_state> holdAt(const member&, pass_number step);
-    // The rank at which passes are held: never the own one.
+    // Holds a pass far enough ahead for arming. Returns its number, or none if no hold was confirmed.
+    std::optional<pass_number> holdFuturePass(pass_number step);
+    // Holds the pass `step` at the given rank. Returns the rank's state afterwards.
+    result<wire::rank_state> holdPassAt(const member&, pass_number step);
+    // Returns the rank at which passes are held, which is never the local rank; null if there is no other member.
     const member* holder() const;
-    // True when a second look at all ranks shows the same.
+    // Queries all ranks again, and returns whether their states lead to the same resolution.
     bool isConfirmed(const group_resolution&);
+    // Arms all ranks for `target`, the local rank last. Returns whether all of them are confirmed to be armed.
     bool armAll(const armed_switch&);
+    // Orders all ranks to disarm the switch to the given version.
     void disarmAll(engine_map_version);
-    void releaseHeld(pass_number step);
+    // Releases the pass at the rank that holds it, or at all ranks if that rank does not confirm.
+    void releaseHeldPass(pass_number step);
+    // Orders all ranks to release the pass `step`.
     void releaseAll(pass_number step);
+    // Returns how many passes after the current one a switch is scheduled.
     pass_number passesAhead() const;
-    void noteArming(duration took);
+    // Updates the recent arming time with one measurement.
+    void recordArmingTime(duration elapsed);
+    // Returns whether `state` belongs to the leader's group and epoch.
     bool isOfFormation(const wire::rank_state& state) const { return state.group == m_group && state.epoch == m_epoch; }
-    bool isDeposed() const { return m_own.term() != m_term; }
+    // Returns whether another rank has claimed a higher term.
+    bool isSuperseded() const { return m_participant.term() != m_term; }
 
     fiber_runtime& m_runtime;
-    map_participant& m_own;
+    map_participant& m_participant;
     order_carrier& m_carrier;
     const options m_options;
     const map_planner m_planner;
     std::minstd_rand m_random;
-    std::vector<std::shared_ptr<rank_channel>> m_others;
-    // From the rank after the own on; and which of them holds passes.
+    std::vector<std::shared_ptr<rank_channel>> m_peers;
+    // Reached ranks of the leader's formation, in cyclic order from the rank after the local one, and the index of the
+    // one that holds passes.
     std::vector<member> m_members;
-    std::size_t m_holder = 0;
-    bool m_isComplete = false;
+    std::size_t m_holderIndex = 0;
+    bool m_allRanksAnswered = false;
     demand_estimator m_demand;
-    std::vector<std::uint32_t> m_relayedDemand; // Of the last round, summed on the way here.
+    std::vector<std::uint32_t> m_relayedDemand; // Expert counts of the last round, summed by the relaying ranks.
     leader_term m_term = 0;
-    // What tells this run of a leader from another one that may have had the same term before its process was started
-    // anew, and how many orders it has given.
-    const std::uint64_t m_run;
+    // Identifies this instance of a leader, since an earlier process may have led with the same term; and the number of
+    // orders that it has sent.
+    const std::uint64_t m_leaderRun;
     std::uint64_t m_serial = 0;
     group_epoch m_epoch = 0;
-    std::vector<std::uint64_t> m_lives; // Of the engines, by rank; 0 where not told.
+    std::vector<std::uint64_t> m_incarnations; // Incarnations of the engines by rank; 0 if not reported.
     std::string m_group;
-    rank_number m_rank = 0; // The own one.
-    std::string m_formedGroup; // Of the map and the lives that are known.
-    bool m_wantsMap = true;
-    // Why nothing can be done at the moment; empty when something can.
+    rank_number m_localRank = 0;
+    std::string m_knownGroup; // Group to which the known map and incarnations belong.
+    bool m_requestsMap = true; // Whether queries request each rank's part of the map in use.
+    // Reason for which no change can be made at present; empty if changes are possible.
     std::string m_waitReason;
     engine_map_version m_mapVersion = 0;
-    std::optional<group_map> m_map; // In use, of `m_mapVersion` in `m_epoch`.
-    engine_map_version m_nextVersion = 0;
-    group_map m_nextMap;
-    // For the time that a pass takes.
-    pass_number m_lastStep = 0;
-    time_point m_lastStepAt {};
-    double m_passMs = 60;
-    // What arming all ranks took, the longest lately.
+    std::optional<group_map> m_map; // Map in use, version `m_mapVersion` of epoch `m_epoch`; none if unknown.
+    // The last map that this leader has held a pass for.
+    engine_map_version m_pendingVersion = 0;
+    group_map m_pendingMap;
+    // Number and time of the last measured pass, and the smoothed pass duration in milliseconds.
+    pass_number m_lastMeasuredPass = 0;
+    time_point m_lastMeasuredAt {};
+    double m_passMilliseconds = 60;
+    // Longest recent duration of arming all ranks, decaying with each change.
     duration m_armingTime {};
 };
 
--- a/coltsfootbend/group/placement_test.cpp
+++ b/coltsfootbend/group/placement_test.cpp
@@ -14,7 +14,7 @@
     return load;
 }
 
-bool everyExpertHasAPlace(const placement& placed)
+bool everyExpertIsPlaced(const placement& placed)
 {
     for (expert_number expert = 0; expert < placed.experts(); ++expert) {
         bool found = false;
@@ -26,7 +26,7 @@
     return true;
 }
 
-RC_GTEST_PROP(Placement, APlanKeepsEveryExpertAndItsWord, ())
+RC_GTEST_PROP(Placement, APlanKeepsEveryExpertAndMatchesItsFigures, ())
 {
     const auto ranks = *rc::gen::inRange<rank_number>(2, 12);
     const auto slots = *rc::gen::inRange<std::uint32_t>(1, 5);
@@ -35,9 +35,9 @@
     const auto current = placement::initial(ranks, experts, slots);
     const rebalance_options options { .gainPerMove = 0.001, .maxMoves = *rc::gen::inRange<std::size_t>(0, 20) };
     const auto plan = planRebalance(current, load, options);
-    RC_ASSERT(everyExpertHasAPlace(plan.next));
+    RC_ASSERT(everyExpertIsPlaced(plan.next));
     RC_ASSERT(plan.moves <= options.maxMoves);
-    RC_ASSERT(current.movesTo(plan.next) <= plan.moves);
+    RC_ASSERT(current.countMovesTo(plan.next) <= plan.moves);
     RC_ASSERT(plan.skewAfter <= plan.skewBefore);
     RC_ASSERT(std::abs(plan.next.skew(load) - plan.skewAfter) < 1e-9);
     RC_ASSERT(plan.moves == 0U || plan.skewBefore - plan.skewAfter > 0.001 * static_cast<double>(plan.moves));
@@ -51,7 +51,7 @@
     EXPECT_NEAR(plan.skewBefore, 1, 1e-9);
 }
 
-TEST(Placement, SpreadsAHotExpert)
+TEST(Placement, ReplicatesAHotExpert)
 {
     expert_load load(16, 0.5 / 15);
     load[3] = 0.5;
@@ -61,16 +61,16 @@
     EXPECT_LT(plan.skewAfter, 0.7 * plan.skewBefore);
 }
 
-TEST(Placement, ADearerMoveIsMadeLessOften)
+TEST(Placement, AHigherCostOfMovesReducesTheirNumber)
 {
     expert_load load;
     for (int i = 0; i < 32; ++i)
         load.push_back(1 + (i * 7) % 13);
     const auto current = placement::initial(16, 32, 4);
     const auto cheap = planRebalance(current, load, { .gainPerMove = 0.0001, .maxMoves = 100 });
-    const auto dear = planRebalance(current, load, { .gainPerMove = 0.05, .maxMoves = 100 });
-    EXPECT_LT(dear.moves, cheap.moves);
-    EXPECT_LE(cheap.skewAfter, dear.skewAfter);
+    const auto costly = planRebalance(current, load, { .gainPerMove = 0.05, .maxMoves = 100 });
+    EXPECT_LT(costly.moves, cheap.moves);
+    EXPECT_LE(cheap.skewAfter, costly.skewAfter);
 }
 
 } // namespace
--- a/coltsfootbend/group/rebalancer_test.cpp
+++ b/coltsfootbend/group/rebalancer_test.cpp
@@ -16,42 +16,42 @@
     return load;
 }
 
-rebalancer layer(double protectedLimit = 100)
+rebalancer makeRebalancer(double protectedSkewLimit = 100)
 {
-    return rebalancer(
-        placement::initial(8, 16, 4), { .gainPerMove = 0.01, .interval = 5min, .protectedLimit = protectedLimit });
+    return rebalancer(placement::initial(8, 16, 4),
+        { .gainPerMove = 0.01, .interval = 5min, .protectedSkewLimit = protectedSkewLimit });
 }
 
 TEST(Rebalancer, PlansWhenDueAndWorthIt)
 {
-    auto balanced = layer();
-    EXPECT_FALSE(balanced.decide(start)) << "nothing is known yet";
+    auto balanced = makeRebalancer();
+    EXPECT_FALSE(balanced.planIfDue(start)) << "nothing is known yet";
     balanced.observe(hotExpert());
-    const auto plan = balanced.decide(start);
+    const auto plan = balanced.planIfDue(start);
     ASSERT_TRUE(plan);
-    EXPECT_FALSE(balanced.decide(start + 1min)) << "not due";
-    balanced.carriedOut(*plan);
-    EXPECT_FALSE(balanced.decide(start + 6min)) << "nothing is left to gain";
+    EXPECT_FALSE(balanced.planIfDue(start + 1min)) << "not due";
+    balanced.onPlanApplied(*plan);
+    EXPECT_FALSE(balanced.planIfDue(start + 6min)) << "nothing is left to gain";
 }
 
-TEST(Rebalancer, KeepsOutOfProtectedHoursUnlessTheLossPassesTheLimit)
+TEST(Rebalancer, MovesNothingInAProtectedWindowUnlessTheSkewExceedsTheLimit)
 {
-    const std::vector<protected_window> morning { { start, start + 4h } };
-    auto calm = layer();
-    calm.setProtected(morning);
-    calm.observe(hotExpert());
-    EXPECT_FALSE(calm.decide(start + 1h));
-    EXPECT_TRUE(calm.decide(start + 4h)) << "the window is over";
-    auto strict = layer(1.5);
-    strict.setProtected(morning);
+    const std::vector<protected_window> windows { { start, start + 4h } };
+    auto lenient = makeRebalancer();
+    lenient.setProtectedWindows(windows);
+    lenient.observe(hotExpert());
+    EXPECT_FALSE(lenient.planIfDue(start + 1h));
+    EXPECT_TRUE(lenient.planIfDue(start + 4h)) << "the window is over";
+    auto strict = makeRebalancer(1.5);
+    strict.setProtectedWindows(windows);
     strict.observe(hotExpert());
     EXPECT_GT(strict.expectedSkew(), 1.5);
-    EXPECT_TRUE(strict.decide(start + 1h));
+    EXPECT_TRUE(strict.planIfDue(start + 1h));
 }
 
-TEST(Rebalancer, OneOddReportMovesLittle)
+TEST(Rebalancer, OneOutlierReportChangesTheEstimateLittle)
 {
-    auto steady = layer();
+    auto steady = makeRebalancer();
     for (int i = 0; i < 10; ++i)
         steady.observe(expert_load(16, 1.0 / 16));
     const double before = steady.expectedSkew();
