--- a/coltsfootbend/quarantine/crash_archive.cpp
+++ b/coltsfootbend/quarantine/crash_archive.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds lookEvery { 200 };
-constexpr std::chrono::milliseconds callLimit { 1500 };
-constexpr std::chrono::seconds pauseAfterFailure { 2 };
-// What one call to the store may hold.
-constexpr std::size_t rowsPerCall = 100;
-// Beyond this the store has been away for long, and gossip has what matters.
-constexpr std::size_t mostWaiting = 1000;
+constexpr std::chrono::milliseconds pollInterval { 200 };
+constexpr std::chrono::milliseconds storeCallTimeout { 1500 };
+constexpr std::chrono::seconds retryInterval { 2 };
+// The store accepts at most this many rows in one call.
+constexpr std::size_t maxRowsPerCall = 100;
+// Bounds memory during a long outage of the store; further records are spread by gossip only.
+constexpr std::size_t maxPendingRecords = 1000;
 
 using system_time = std::chrono::system_clock;
 
@@ -55,8 +55,8 @@
 void crash_archive::keep(const std::vector<crash_record>& records)
 {
     for (const auto& record : records) {
-        if (m_waiting.size() < mostWaiting)
-            m_waiting.insert_or_assign({ record.request, record.server }, record);
+        if (m_pending.size() < maxPendingRecords)
+            m_pending.insert_or_assign({ record.request, record.server }, record);
     }
 }
 
@@ -64,14 +64,14 @@
 {
     while (!m_stopped) {
         const bool isDone = (m_hasRead || readOnce()) && writeOnce();
-        m_runtime.sleepFor(isDone ? duration(lookEvery) : duration(pauseAfterFailure));
+        m_runtime.sleepFor(isDone ? duration(pollInterval) : duration(retryInterval));
     }
 }
 
-// Rows that are older than they are kept for are removed by whoever reads them next.
+// Removes the rows that it reads after their retention has passed.
 bool crash_archive::readOnce()
 {
-    const auto rows = m_store->readCrashes(clock_type::now() + callLimit);
+    const auto rows = m_store->readCrashes(clock_type::now() + storeCallTimeout);
     if (!rows) {
         logFailure("read", rows.error());
         return false;
@@ -80,7 +80,7 @@
     std::vector<crash_record> restored;
     for (const auto& row : *rows) {
         auto record = toRecord(row);
-        if (record.at + m_options.keptFor > clock_type::now()) {
+        if (record.at + m_options.retention > clock_type::now()) {
             restored.push_back(std::move(record));
             continue;
         }
@@ -95,8 +95,8 @@
 std::vector<crash_record> crash_archive::takeBatch()
 {
     std::vector<crash_record> batch;
-    while (!m_waiting.empty() && batch.size() < rowsPerCall)
-        batch.push_back(m_waiting.extract(m_waiting.begin()).mapped());
+    while (!m_pending.empty() && batch.size() < maxRowsPerCall)
+        batch.push_back(m_pending.extract(m_pending.begin()).mapped());
     return batch;
 }
 
@@ -109,12 +109,12 @@
     std::vector<kept_crash> removed;
     for (const auto& record : batch)
         (record.isCleared ? removed : written).push_back(toRow(record));
-    const auto done = m_store->changeCrashes(written, removed, clock_type::now() + callLimit);
+    const auto done = m_store->changeCrashes(written, removed, clock_type::now() + storeCallTimeout);
     if (done)
         return true;
     logFailure("write", done.error());
     for (const auto& record : batch)
-        m_waiting.emplace(row_key { record.request, record.server }, record); // Unless there is newer news of it.
+        m_pending.emplace(row_key { record.request, record.server }, record); // Does not overwrite a newer update.
     return false;
 }
 
--- a/coltsfootbend/quarantine/crash_archive.h
+++ b/coltsfootbend/quarantine/crash_archive.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Keeps in the store what would be lost if all VMs ended at once: the crashes of requests that were at two of them or
-// more. Read once at the start; written seldom, and without conditions, since each row says one thing that stays true.
-// Never waited for: while the store is away, what is to be written waits, and gossip goes on. Found through the kernel
-// as "crash_archive".
+// Persists crash records in the store, so that quarantines survive a simultaneous restart of all VMs. Callers pass the
+// records of requests that were running at two or more crashes. The archive is read once at start. Writes are rare and
+// unconditional, since a row states a fact that does not change. No caller waits for the store: while it is
+// unavailable, writes are queued and gossip continues. Registered in the kernel as "crash_archive".
 //
 //     archive.onRestored([](const std::vector<crash_record>& kept) { history.add(kept, now); });
 //     archive.keep(history.recordsOf(request));
@@ -21,30 +21,33 @@
 
 namespace coltsfootbend {
 
-// One row of the store.
+// One row of the store: a request was running at a backend server when that crashed.
 struct kept_crash {
     request_fingerprint request;
     server_life server;
-    // By the clocks of VMs, which may differ by seconds: far less than rows are kept for.
+    // Wall-clock time of the VM that recorded the crash. The clocks of VMs differ by seconds, which is far less than
+    // the retention of a row.
     std::chrono::system_clock::time_point at {};
 };
 
+// Reads and writes the rows of crashes in a store.
 class crash_store {
 public:
     virtual ~crash_store() = default;
-    // Both fail with `Unavailable`, `Lost`, `TimedOut` or `Overloaded`; a change that failed may have been made.
+    // Both calls fail with `Unavailable`, `Lost`, `TimedOut` or `Overloaded`. A failed change may have taken effect.
     virtual result<std::vector<kept_crash>> readCrashes(time_point deadline) = 0;
-    // At most a hundred rows together.
+    // Accepts at most 100 rows, written and removed ones together.
     virtual result<void> changeCrashes(
         const std::vector<kept_crash>& written, const std::vector<kept_crash>& removed, time_point deadline)
         = 0;
 };
 
+// Restores crash records at start and writes later ones in the background.
 class crash_archive final : public service {
 public:
     struct options {
-        // As long as a request may be quarantined.
-        duration keptFor = crash_history::options().quarantineKeptFor;
+        // How long a row is stored: the longest time for which a request may be quarantined.
+        duration retention = crash_history::options().quarantineRetention;
     };
 
     crash_archive(fiber_runtime& runtime, std::unique_ptr<crash_store> store)
@@ -57,13 +60,13 @@
     result<void> start(kernel&) override;
     void stop() override { m_stopped = true; }
 
-    // Called once, when the store has been read.
+    // Sets a callback that is called once, with the records that are still valid when the store has been read.
     void onRestored(std::function<void(const std::vector<crash_record>&)> restored)
     {
         m_restored = std::move(restored);
     }
 
-    // Writes them soon; those that are cleared are removed.
+    // Queues records for the next write to the store. Records that are cleared are removed from it.
     void keep(const std::vector<crash_record>&);
 
 private:
@@ -78,7 +81,7 @@
     const std::unique_ptr<crash_store> m_store;
     const options m_options;
     std::function<void(const std::vector<crash_record>&)> m_restored;
-    std::map<row_key, crash_record> m_waiting; // To be written or removed.
+    std::map<row_key, crash_record> m_pending; // Queued to be written or removed.
     bool m_hasRead = false;
     bool m_stopped = false;
 };
--- a/coltsfootbend/quarantine/crash_archive_test.cpp
+++ b/coltsfootbend/quarantine/crash_archive_test.cpp
@@ -11,7 +11,7 @@
 
 using row_names = std::set<std::string>;
 
-// The store; it may refuse calls.
+// The contents of a store that can be set to refuse calls.
 struct model_rows {
     std::map<std::string, kept_crash> rows;
     bool isRefusing = false;
@@ -93,7 +93,7 @@
     };
 };
 
-TEST_F(crash_archive_test, WhatOneLifeKeptTheNextOneKnows)
+TEST_F(crash_archive_test, RestoresRecordsAfterARestart)
 {
     play([&](fiber_runtime& runtime, crash_archive& archive) {
         archive.keep({ m_first, m_second });
@@ -105,7 +105,7 @@
     EXPECT_LT(std::abs(toMilliseconds(m_restored.front().at - m_first.at)), 1000);
 }
 
-TEST_F(crash_archive_test, WhatIsClearedIsRemoved)
+TEST_F(crash_archive_test, RemovesClearedRecords)
 {
     play([&](fiber_runtime& runtime, crash_archive& archive) {
         archive.keep({ m_first, m_second });
@@ -119,7 +119,7 @@
     EXPECT_EQ(names(), (row_names { "r.2" }));
 }
 
-TEST_F(crash_archive_test, WhatAStoreRefusedIsWrittenWhenItIsBack)
+TEST_F(crash_archive_test, WritesQueuedRecordsWhenTheStoreIsAvailableAgain)
 {
     m_model.isRefusing = true;
     play([&](fiber_runtime& runtime, crash_archive& archive) {
@@ -132,7 +132,7 @@
     EXPECT_EQ(names(), (row_names { "r.1" }));
 }
 
-TEST_F(crash_archive_test, RowsOfLongAgoAreRemovedAndNotTold)
+TEST_F(crash_archive_test, RemovesExpiredRowsAndDoesNotRestoreThem)
 {
     const kept_crash old {
         .request = request_fingerprint("r"), .server = server_life("0"), .at = std::chrono::system_clock::now() - 2h
--- a/coltsfootbend/quarantine/crash_gossip.cpp
+++ b/coltsfootbend/quarantine/crash_gossip.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// So that a message is no longer than one packet: each entry is about 60 bytes.
-constexpr std::size_t entriesPerMessage = 20;
-// An exchange with one process is usually enough, and what it brings has arrived by then.
-constexpr std::chrono::milliseconds exchangeEvery { 200 };
+// Keeps a message within one packet: each entry takes about 60 bytes.
+constexpr std::size_t maxEntriesPerMessage = 20;
+// Leaves time for the answer to an exchange to arrive, since one exchange is usually enough.
+constexpr std::chrono::milliseconds minExchangeInterval { 200 };
 
-// Ages, since the clocks of VMs differ.
+// Sends the age of a crash and not its time, since the clocks of VMs differ.
 wire::crash_entry toEntry(const crash_record& record, time_point now)
 {
     return { .request = record.request.text(),
@@ -22,11 +22,11 @@
 
 crash_record toRecord(const wire::crash_entry& entry, time_point now)
 {
-    // Beyond any time for which crashes are kept, and short of what a time can hold.
-    constexpr std::uint64_t longestAgeMs = 86'400'000;
+    // Longer than any retention of crashes, and short enough that the subtraction below cannot overflow.
+    constexpr std::uint64_t maxAgeMs = 86'400'000;
     return { .request = request_fingerprint(entry.request),
         .server = server_life(entry.server),
-        .at = now - std::chrono::milliseconds(std::min(entry.ageMs, longestAgeMs)),
+        .at = now - std::chrono::milliseconds(std::min(entry.ageMs, maxAgeMs)),
         .isCleared = entry.isCleared };
 }
 
@@ -38,7 +38,7 @@
     wire::crash_report report;
     for (std::size_t i = 0; i < records.size(); ++i) {
         report.entries.push_back(toEntry(records[i], now));
-        if (report.entries.size() < entriesPerMessage && i + 1 < records.size())
+        if (report.entries.size() < maxEntriesPerMessage && i + 1 < records.size())
             continue;
         for (const auto& receiver : receivers)
             m_channel.send(receiver, report);
@@ -54,19 +54,19 @@
         records.push_back(toRecord(entry, now));
     m_history.add(records, now);
     if (report.wantsAll)
-        tellAll(sender, false, now);
+        sendAll(sender, false, now);
 }
 
 void crash_gossip::hearDigest(const endpoint& sender, std::uint64_t digest, time_point now)
 {
-    // A full history drops some of what it is told, and so would never come to equal another one.
+    // A full history drops some of the records it receives, so its digest might never equal that of the sender.
     if (digest == m_history.digest() || m_history.isFull() || now < m_nextExchangeAt)
         return;
-    m_nextExchangeAt = now + exchangeEvery;
-    tellAll(sender, true, now);
+    m_nextExchangeAt = now + minExchangeInterval;
+    sendAll(sender, true, now);
 }
 
-void crash_gossip::tellAll(const endpoint& receiver, bool wantsAll, time_point now)
+void crash_gossip::sendAll(const endpoint& receiver, bool wantsAll, time_point now)
 {
     tell(m_history.records(), { receiver }, now);
     if (wantsAll)
--- a/coltsfootbend/quarantine/crash_gossip.h
+++ b/coltsfootbend/quarantine/crash_gossip.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Spreads what is known of crashes among gateways and rank agents, without anybody being asked to agree: news are told
-// at once, and who hears that another one knows something else exchanges all with it. Agents pass on what gateways,
-// which do not know each other, tell them. Lost messages, cuts, and VMs that start with nothing are made up for by the
-// exchange. Decides whom to tell what; the channel sends.
+// Spreads crash records among gateways and rank agents without consensus. Updates are sent at once, and a process that
+// receives a different digest exchanges all records with the sender. Gateways do not know each other, so agents carry
+// records between them. The exchange repairs lost messages and network partitions, and fills the empty history of a VM
+// that has started. Decides which records to send to which process; the channel sends them.
 //
 //     crash_gossip gossip(history, channel);
 //     gossip.tell(history.add(records, now), receivers, now);
@@ -17,13 +17,14 @@
 
 namespace coltsfootbend {
 
-// Sends one message to one process. It may be lost.
+// Sends a message to one process. The message may be lost.
 class crash_channel {
 public:
     virtual ~crash_channel() = default;
     virtual void send(const endpoint&, const wire::crash_report&) = 0;
 };
 
+// Keeps one crash history consistent with those of other processes.
 class crash_gossip {
 public:
     crash_gossip(crash_history& history, crash_channel& channel)
@@ -32,16 +33,18 @@
     {
     }
 
+    // Sends records to each receiver, in as many messages as are needed.
     void tell(const std::vector<crash_record>&, const std::vector<endpoint>& receivers, time_point now);
 
-    // Takes what is news, and answers if the sender wants to be told all.
+    // Adds the records of a report to the history. Replies with all records if the sender asks for them.
     void hear(const endpoint& sender, const wire::crash_report&, time_point now);
 
-    // Another process says what it knows. Exchanges all with it if that differs, a few times a second at most.
+    // Compares the digest of another process with that of this history. Exchanges all records with the sender if they
+    // differ, a few times a second at most.
     void hearDigest(const endpoint& sender, std::uint64_t digest, time_point now);
 
 private:
-    void tellAll(const endpoint& receiver, bool wantsAll, time_point now);
+    void sendAll(const endpoint& receiver, bool wantsAll, time_point now);
 
     crash_history& m_history;
     crash_channel& m_channel;
--- a/coltsfootbend/quarantine/crash_gossip_test.cpp
+++ b/coltsfootbend/quarantine/crash_gossip_test.cpp
@@ -13,7 +13,7 @@
 
 const time_point start = time_point {} + 24h;
 
-// Gateways and agents that send each other datagrams, some of which are lost. Gateways know agents only.
+// Simulates gateways and agents that exchange datagrams, some of which are lost. Gateways know only agents.
 class crash_gossip_test : public testing::Test {
 protected:
     struct node final : crash_channel {
@@ -24,7 +24,7 @@
         }
         void send(const endpoint& receiver, const wire::crash_report& report) override
         {
-            network.m_underWay.push_back({ address, receiver, report });
+            network.m_inFlight.push_back({ address, receiver, report });
         }
 
         crash_gossip_test& network;
@@ -33,7 +33,7 @@
         crash_gossip gossip { history, *this };
         bool isCutOff = false;
     };
-    struct letter {
+    struct sent_datagram {
         endpoint from;
         endpoint to;
         wire::crash_report report;
@@ -56,15 +56,15 @@
 
     node& at(const endpoint& address) { return *m_nodes.at(address); }
 
-    // Agents tell all gateways their digests, as they do ten times a second.
+    // Sends the digests of all agents to all gateways, which happens ten times a second.
     void round()
     {
         m_now += 100ms;
         deliver();
         for (const auto& gateway : m_gateways) {
-            auto inAnyOrder = m_agents;
-            std::shuffle(inAnyOrder.begin(), inAnyOrder.end(), m_random);
-            for (const auto& agent : inAnyOrder) {
+            auto shuffledAgents = m_agents;
+            std::shuffle(shuffledAgents.begin(), shuffledAgents.end(), m_random);
+            for (const auto& agent : shuffledAgents) {
                 if (!isLost() && !at(agent).isCutOff && !at(gateway).isCutOff)
                     at(gateway).gossip.hearDigest(agent, at(agent).history.digest(), m_now);
             }
@@ -74,9 +74,9 @@
 
     void deliver()
     {
-        while (!m_underWay.empty()) {
-            const auto next = m_underWay.front();
-            m_underWay.pop_front();
+        while (!m_inFlight.empty()) {
+            const auto next = m_inFlight.front();
+            m_inFlight.pop_front();
             if (!isLost() && !at(next.from).isCutOff && !at(next.to).isCutOff)
                 at(next.to).gossip.hear(next.from, next.report, m_now);
         }
@@ -89,15 +89,16 @@
         crash(gateway, request, server, m_agents);
     }
 
-    void crash(const endpoint& gateway, const std::string& request, int server, const std::vector<endpoint>& told)
+    void crash(
+        const endpoint& gateway, const std::string& request, int server, const std::vector<endpoint>& initialReceivers)
     {
-        const auto news = at(gateway).history.add(
+        const auto updates = at(gateway).history.add(
             { { .request = request_fingerprint(request), .server = server_life(std::to_string(server)), .at = m_now } },
             m_now);
-        at(gateway).gossip.tell(news, told, m_now);
+        at(gateway).gossip.tell(updates, initialReceivers, m_now);
     }
 
-    bool areAllAlike() const
+    bool haveAllEqualDigests() const
     {
         return std::all_of(m_nodes.begin(), m_nodes.end(), [&](const auto& entry) {
             return entry.second->history.digest() == m_nodes.begin()->second->history.digest();
@@ -110,19 +111,19 @@
     std::map<endpoint, std::unique_ptr<node>> m_nodes;
     std::vector<endpoint> m_gateways;
     std::vector<endpoint> m_agents;
-    std::deque<letter> m_underWay;
+    std::deque<sent_datagram> m_inFlight;
 };
 
-TEST_F(crash_gossip_test, ACrashIsKnownEverywhereWithinARoundOfNews)
+TEST_F(crash_gossip_test, ACrashReachesAllProcessesWithinOneRound)
 {
     build(99, 129);
     crash(m_gateways.front(), "r", 1);
     round();
-    EXPECT_TRUE(areAllAlike());
+    EXPECT_TRUE(haveAllEqualDigests());
     EXPECT_EQ(at(m_gateways.back()).history.crashes(request_fingerprint("r")), 1U);
 }
 
-TEST_F(crash_gossip_test, ACrashThatAFewAgentsWereToldIsKnownToAllGatewaysWithinASecond)
+TEST_F(crash_gossip_test, ACrashReportedToAFewAgentsReachesAllGatewaysWithinASecond)
 {
     build(99, 129);
     crash(m_gateways.front(), "r", 1, { m_agents.begin(), m_agents.begin() + 16 });
@@ -144,7 +145,7 @@
         EXPECT_TRUE(at(gateway).history.isQuarantined(request_fingerprint("r"), m_now + 1s));
 }
 
-TEST_F(crash_gossip_test, AVmThatStartsWithNothingLearnsAllAndTakesNothingAway)
+TEST_F(crash_gossip_test, AVmThatStartsEmptyReceivesAllRecordsAndRemovesNone)
 {
     build(3, 4);
     for (int i = 0; i < 100; ++i)
@@ -154,11 +155,11 @@
     m_agents.push_back(add(1050));
     for (int i = 0; i < 5; ++i)
         round();
-    EXPECT_TRUE(areAllAlike());
+    EXPECT_TRUE(haveAllEqualDigests());
     EXPECT_EQ(at(m_gateways.back()).history.records().size(), 100U);
 }
 
-TEST_F(crash_gossip_test, BothSidesOfACutKnowAllSoonAfterItsEnd)
+TEST_F(crash_gossip_test, BothSidesOfAPartitionConvergeAfterItsEnd)
 {
     build(4, 6);
     at(m_gateways.front()).isCutOff = true;
@@ -173,26 +174,26 @@
         EXPECT_EQ(at(gateway).history.crashes(request_fingerprint("r")), 2U) << "within a second";
 }
 
-TEST_F(crash_gossip_test, NothingIsSentWhileAllKnowTheSame)
+TEST_F(crash_gossip_test, SendsNothingWhileAllDigestsAreEqual)
 {
     build(8, 12);
     crash(m_gateways.front(), "r", 1);
     for (int i = 0; i < 5; ++i)
         round();
     at(m_agents.front()).gossip.hearDigest(m_gateways.front(), at(m_gateways.front()).history.digest(), m_now);
-    EXPECT_TRUE(m_underWay.empty());
+    EXPECT_TRUE(m_inFlight.empty());
 }
 
-TEST_F(crash_gossip_test, NoMessageIsLongerThanAPacket)
+TEST_F(crash_gossip_test, MessagesFitIntoOnePacket)
 {
     build(1, 1);
     for (int i = 0; i < 200; ++i)
         crash(m_gateways.front(), std::string(32, 'f') + std::to_string(i), i);
     deliver();
     at(m_agents.front()).gossip.hear(m_gateways.front(), { .entries = {}, .wantsAll = true }, m_now);
-    ASSERT_FALSE(m_underWay.empty());
-    for (const auto& letter : m_underWay)
-        EXPECT_LE(letter.report.entries.size(), 20U);
+    ASSERT_FALSE(m_inFlight.empty());
+    for (const auto& sent_datagram : m_inFlight)
+        EXPECT_LE(sent_datagram.report.entries.size(), 20U);
 }
 
 } // namespace
--- a/coltsfootbend/quarantine/crash_history.cpp
+++ b/coltsfootbend/quarantine/crash_history.cpp
@@ -19,39 +19,40 @@
 
 std::vector<crash_record> crash_history::add(const std::vector<crash_record>& records, time_point now)
 {
-    std::vector<crash_record> news;
-    std::copy_if(records.begin(), records.end(), std::back_inserter(news),
+    std::vector<crash_record> updates;
+    std::copy_if(records.begin(), records.end(), std::back_inserter(updates),
         [&](const auto& record) { return addOne(record, now); });
-    if (!news.empty())
-        judge();
-    return news;
+    if (!updates.empty())
+        attributeCrashes();
+    return updates;
 }
 
 bool crash_history::addOne(const crash_record& record, time_point now)
 {
-    if (record.at + m_options.quarantineKeptFor <= now)
+    if (record.at + m_options.quarantineRetention <= now)
         return false;
     const auto known = m_suspects.find(record.request);
     const bool isNew = known == m_suspects.end() || !known->second.crashes.contains(record.server);
     if (!isNew && (!record.isCleared || known->second.crashes.at(record.server).isCleared))
         return false;
     if (isNew && isFull())
-        makeRoom();
+        evictLeastSuspected();
     auto& crash = m_suspects[record.request].crashes[record.server];
     if (isNew) {
-        crash = { .at = std::min(record.at, now), .heardAt = now };
+        crash = { .at = std::min(record.at, now), .receivedAt = now };
         ++m_records;
     }
     crash.isCleared = crash.isCleared || record.isCleared;
     return true;
 }
 
-// Whoever was at fewest crashes goes first, of those the oldest: nothing was proved against them.
-void crash_history::makeRoom()
+// Evicts the request with the fewest unexplained crashes, and of these the one that expires first, since the evidence
+// against it is weakest.
+void crash_history::evictLeastSuspected()
 {
     const auto least = std::min_element(m_suspects.begin(), m_suspects.end(), [](const auto& one, const auto& other) {
-        return std::pair(one.second.unexplained, one.second.keptUntil)
-            < std::pair(other.second.unexplained, other.second.keptUntil);
+        return std::pair(one.second.unexplained, one.second.retainedUntil)
+            < std::pair(other.second.unexplained, other.second.retainedUntil);
     });
     m_records -= least->second.crashes.size();
     m_suspects.erase(least);
@@ -62,14 +63,14 @@
     const auto known = m_suspects.find(request);
     if (known == m_suspects.end())
         return {};
-    bool isNews = false;
+    bool isChanged = false;
     for (auto& [server, crash] : known->second.crashes) {
-        isNews = isNews || !crash.isCleared;
+        isChanged = isChanged || !crash.isCleared;
         crash.isCleared = true;
     }
-    if (!isNews)
+    if (!isChanged)
         return {};
-    judge();
+    attributeCrashes();
     return recordsOf(request);
 }
 
@@ -77,33 +78,34 @@
 {
     const auto before = m_suspects.size();
     std::erase_if(m_suspects, [&](const auto& entry) {
-        if (now < entry.second.keptUntil)
+        if (now < entry.second.retainedUntil)
             return false;
         m_records -= entry.second.crashes.size();
         return true;
     });
     if (m_suspects.size() != before)
-        judge();
+        attributeCrashes();
 }
 
-// Blames as few requests as explain the crashes: whoever was at most of them, and then whoever was at most of the rest.
-// A request that was often beside one that crashes servers is thereby left with the few crashes that it alone was at.
-void crash_history::judge()
+// Attributes the crashes to as few requests as explain them (greedy set cover): first to the request at most crashes,
+// then to the request at most of the remaining ones, and so on. An unrelated request that often ran next to the cause
+// is left with only the crashes at which the cause was absent.
+void crash_history::attributeCrashes()
 {
     for (auto& [request, suspect] : m_suspects) {
         suspect.quarantinedFrom.reset();
         suspect.suspendedFrom.reset();
         suspect.unexplained = 0;
     }
-    auto open = openSuspicions();
+    auto open = unexplainedCrashes();
     while (const auto worst = mostSuspected(open)) {
         const auto crashes = open.at(*worst);
-        const auto rivalling = rivals(open, *worst);
-        if (!rivalling.empty() && crashes.size() < m_options.crashesThatNeedNoProof) {
-            // One of them is to blame. The next crash tells which.
-            for (const auto& rival : rivalling) {
-                m_suspects.at(rival).unexplained = crashes.size();
-                open.erase(rival);
+        const auto indistinguishable = indistinguishableFrom(open, *worst);
+        if (!indistinguishable.empty() && crashes.size() < m_options.crashesToQuarantineAmbiguous) {
+            // One of them is responsible, and only a further crash can distinguish them.
+            for (const auto& similar : indistinguishable) {
+                m_suspects.at(similar).unexplained = crashes.size();
+                open.erase(similar);
             }
             m_suspects.at(*worst).unexplained = crashes.size();
             open.erase(*worst);
@@ -117,13 +119,13 @@
     for (const auto& [request, left] : open)
         m_suspects.at(request).unexplained = left.size();
     suspend(open);
-    updateLimits();
+    updateRetention();
     updateDigest();
 }
 
-crash_history::suspicions crash_history::openSuspicions() const
+crash_history::suspected_crashes crash_history::unexplainedCrashes() const
 {
-    suspicions open;
+    suspected_crashes open;
     for (const auto& [request, suspect] : m_suspects) {
         for (const auto& [server, crash] : suspect.crashes) {
             if (!crash.isCleared)
@@ -133,7 +135,7 @@
     return open;
 }
 
-std::optional<request_fingerprint> crash_history::mostSuspected(const suspicions& open) const
+std::optional<request_fingerprint> crash_history::mostSuspected(const suspected_crashes& open) const
 {
     const auto most = std::max_element(open.begin(), open.end(),
         [](const auto& one, const auto& other) { return one.second.size() < other.second.size(); });
@@ -142,7 +144,8 @@
     return most->first;
 }
 
-std::vector<request_fingerprint> crash_history::rivals(const suspicions& open, const request_fingerprint& request)
+std::vector<request_fingerprint> crash_history::indistinguishableFrom(
+    const suspected_crashes& open, const request_fingerprint& request)
 {
     const auto& crashes = open.at(request);
     std::vector<request_fingerprint> found;
@@ -160,11 +163,12 @@
     suspect.quarantinedFrom = settledAt(suspect, crashes, m_options.crashesToQuarantine);
 }
 
-// A third crash would be the proof, and another outage of a whole group. Not while somebody else was at the same ones.
-void crash_history::suspend(const suspicions& open)
+// Suspends requests before the third crash, since that would prove the cause only at the price of another outage of a
+// whole group. Requests that were at the same crashes are not suspended, since they cannot be distinguished.
+void crash_history::suspend(const suspected_crashes& open)
 {
     for (const auto& [request, crashes] : open) {
-        if (crashes.size() < m_options.crashesToSuspend || !rivals(open, request).empty())
+        if (crashes.size() < m_options.crashesToSuspend || !indistinguishableFrom(open, request).empty())
             continue;
         auto& suspect = m_suspects.at(request);
         suspect.suspendedFrom = settledAt(suspect, crashes, m_options.crashesToSuspend);
@@ -177,20 +181,21 @@
 
 time_point crash_history::settledAt(const suspect& suspect, const crash_set& crashes, std::size_t count) const
 {
-    std::vector<time_point> heardAt;
+    std::vector<time_point> receivedAt;
     for (const auto& server : crashes)
-        heardAt.push_back(suspect.crashes.at(server).heardAt);
-    std::sort(heardAt.begin(), heardAt.end());
-    return heardAt[count - 1] + m_options.settle;
+        receivedAt.push_back(suspect.crashes.at(server).receivedAt);
+    std::sort(receivedAt.begin(), receivedAt.end());
+    return receivedAt[count - 1] + m_options.settlingTime;
 }
 
-void crash_history::updateLimits()
+void crash_history::updateRetention()
 {
     for (auto& [request, suspect] : m_suspects) {
         time_point last {};
         for (const auto& [server, crash] : suspect.crashes)
             last = std::max(last, crash.at);
-        suspect.keptUntil = last + (suspect.quarantinedFrom ? m_options.quarantineKeptFor : m_options.suspectKeptFor);
+        suspect.retainedUntil
+            = last + (suspect.quarantinedFrom ? m_options.quarantineRetention : m_options.suspectRetention);
     }
 }
 
@@ -212,7 +217,7 @@
 {
     const auto known = m_suspects.find(request);
     return known != m_suspects.end() && known->second.quarantinedFrom && now >= *known->second.quarantinedFrom
-        && now < known->second.keptUntil;
+        && now < known->second.retainedUntil;
 }
 
 std::optional<time_point> crash_history::refusedUntil(const request_fingerprint& request, time_point now) const
@@ -222,7 +227,7 @@
         return std::nullopt;
     const auto& suspect = known->second;
     if (isQuarantined(request, now))
-        return suspect.keptUntil;
+        return suspect.retainedUntil;
     if (!suspect.suspendedFrom || now < *suspect.suspendedFrom || now >= suspect.suspendedUntil)
         return std::nullopt;
     return suspect.suspendedUntil;
--- a/coltsfootbend/quarantine/crash_history.h
+++ b/coltsfootbend/quarantine/crash_history.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// Under which requests backend servers have crashed, and which of those requests are to blame. Whoever was at a crashed
-// server is only a suspect: a request is suspended for a while once it was there at two crashes that nobody else
-// explains, and quarantined for long once it was at three. What
-// one VM adds, others take in any order and any number of times, and all come to the same verdicts: nothing is agreed
-// on. Bounded, and forgets with time. Deterministic. Not for finding crashes: see `gateway/crash_detector.h`.
+// Records which requests were running when backend servers crashed, and decides which of them caused the crashes. A
+// request at a crashed server is a suspect. It is suspended for about a minute after two crashes that no other request
+// explains, and quarantined for an hour after three. Records may be added in any order and any number of times: all VMs
+// reach the same verdicts from the same records, without consensus. Memory is bounded, and records expire.
+// Deterministic. Does not detect crashes: see `gateway/crash_detector.h`.
 //
 //     crash_history history;
 //     history.add({ { .request = fingerprint, .server = life, .at = now } }, now);
-//     if (const auto until = history.refusedUntil(fingerprint, now)) // it would crash another server
+//     if (const auto until = history.refusedUntil(fingerprint, now)) // refuse the request
 
 #include "coltsfootbend/base/time.h"
 #include "coltsfootbend/quarantine/request_fingerprint.h"
@@ -21,35 +21,43 @@
 
 namespace coltsfootbend {
 
-// One life of a backend server: its registered name, and its life where it may keep that name.
+// Identifies one incarnation of a backend server: its registered name, followed by its incarnation where a restarted
+// server may keep its name.
 using server_life = text_id<struct server_life_tag>;
 
-// A request was at a server when that crashed.
+// States that a request was running at a server when that crashed.
 struct crash_record {
     request_fingerprint request;
     server_life server;
     time_point at {};
-    // The request was run to a good end since, so it was not the cause. Holds for good.
+    // The request has succeeded since, so it did not cause the crash. Never reset.
     bool isCleared = false;
 
     bool operator==(const crash_record&) const = default;
 };
 
+// Holds the crash records of suspect requests and the verdicts on them.
 class crash_history {
 public:
     struct options {
+        // Number of unexplained crashes after which a request is quarantined.
         std::size_t crashesToQuarantine = 3;
+        // Number of unexplained crashes after which a request is suspended.
         std::size_t crashesToSuspend = 2;
-        // After the last crash: longer than a group takes to form again and its callers to come back, short enough for
-        // one that was at two crashes by chance.
+        // How long after its last crash a request is suspended. Longer than a group takes to form again and its callers
+        // to return; short enough for a request that was at two crashes by coincidence.
         duration suspendedFor = std::chrono::minutes(1);
-        // Requests that were at the same crashes cannot be told apart; beyond so many it is no chance any more.
-        std::size_t crashesThatNeedNoProof = 5;
-        // After the last crash that counts, for others to tell who else was there.
-        duration settle = std::chrono::milliseconds(300);
-        duration suspectKeptFor = std::chrono::minutes(10);
-        // Counted from the request's last crash; then it may be tried again.
-        duration quarantineKeptFor = std::chrono::minutes(60);
+        // Requests that were at the same crashes cannot be distinguished, and none of them is quarantined. From this
+        // number of crashes on, one of them is quarantined all the same, since coincidence is ruled out.
+        std::size_t crashesToQuarantineAmbiguous = 5;
+        // Delay from the receipt of the record that completes a verdict until the verdict takes effect, during which
+        // the other gateways can report which other requests were running at the crash.
+        duration settlingTime = std::chrono::milliseconds(300);
+        // How long after its last crash the records of a request are stored if it is not quarantined.
+        duration suspectRetention = std::chrono::minutes(10);
+        // How long a quarantine lasts after the request's last crash. The request is accepted again after that.
+        duration quarantineRetention = std::chrono::minutes(60);
+        // Maximum number of records; the requests with the fewest unexplained crashes are evicted first.
         std::size_t maxRecords = 2048;
     };
 
@@ -62,27 +70,29 @@
     {
     }
 
-    // Returns those that are news. Of records of the same request and server one is kept, cleared if any of them is.
-    // O(records).
+    // Adds records and returns those that changed the history. Records of the same request and server are merged, and
+    // the result is cleared if any of them is. O(records).
     std::vector<crash_record> add(const std::vector<crash_record>&, time_point now);
-    // The request was run to a good end. Returns its records if that is news. O(records).
+    // Clears the records of a request that has succeeded. Returns them if any was not cleared yet. O(records).
     std::vector<crash_record> clear(const request_fingerprint&);
-    // Forgets what is old. O(records).
+    // Removes the requests whose retention has passed. O(records).
     void expire(time_point now);
 
-    // Crashes at which the request was, as far as they are not explained by others. O(log records).
+    // Returns the number of crashes of the request that no other request explains. O(log records).
     std::size_t crashes(const request_fingerprint&) const;
+    // Returns whether the request is quarantined at `now`, that is, after the verdict has settled. O(log records).
     bool isQuarantined(const request_fingerprint&, time_point now) const;
-    // Until when it is quarantined or suspended if nothing more is heard of it; none if it is neither. O(log records).
+    // Returns when the quarantine or suspension of the request ends if no further record arrives; none if it is neither
+    // quarantined nor suspended. O(log records).
     std::optional<time_point> refusedUntil(const request_fingerprint&, time_point now) const;
-    // All requests that are quarantined, and those that are suspended, whether or not the verdicts have settled.
+    // Return all requests that are quarantined or suspended, including those whose verdicts have not settled.
     std::set<request_fingerprint> quarantined() const;
     std::set<request_fingerprint> suspended(time_point now) const;
 
     bool isEmpty() const { return m_suspects.empty(); }
-    // There is no room for more: what others know beyond that is not to be asked for.
+    // Returns whether the capacity is used up. Further records must not be requested from other processes then.
     bool isFull() const { return m_records >= m_options.maxRecords; }
-    // Equal for equal histories, however they came about.
+    // Returns a hash that is equal for histories with equal records, in whatever order these were added.
     std::uint64_t digest() const { return m_digest; }
     std::vector<crash_record> records() const;
     std::vector<crash_record> recordsOf(const request_fingerprint&) const;
@@ -90,35 +100,37 @@
 private:
     struct crash {
         time_point at {};
-        time_point heardAt {};
+        time_point receivedAt {};
         bool isCleared = false;
     };
     struct suspect {
         std::map<server_life, crash> crashes;
+        // Number of crashes that no other request explains.
         std::size_t unexplained = 0;
-        // When it counts as quarantined, and until when.
+        // Start of the quarantine, which lasts until `retainedUntil`.
         std::optional<time_point> quarantinedFrom;
-        // The same of a suspension.
+        // Start of the suspension, which lasts until `suspendedUntil`.
         std::optional<time_point> suspendedFrom;
         time_point suspendedUntil {};
-        time_point keptUntil {};
+        time_point retainedUntil {};
     };
     using crash_set = std::set<server_life>;
-    using suspicions = std::map<request_fingerprint, crash_set>;
+    using suspected_crashes = std::map<request_fingerprint, crash_set>;
 
     bool addOne(const crash_record&, time_point now);
-    void makeRoom();
-    void judge();
-    suspicions openSuspicions() const;
-    // Of those with most crashes the first; none is left with enough of them.
-    std::optional<request_fingerprint> mostSuspected(const suspicions&) const;
-    // Who was at as many crashes, and at more than one of the same.
-    static std::vector<request_fingerprint> rivals(const suspicions&, const request_fingerprint&);
+    void evictLeastSuspected();
+    void attributeCrashes();
+    suspected_crashes unexplainedCrashes() const;
+    // Returns the first of the requests with most crashes, or none if these are too few for a quarantine.
+    std::optional<request_fingerprint> mostSuspected(const suspected_crashes&) const;
+    // Returns the requests that cannot be distinguished from the given one: those with the same number of crashes that
+    // share more than one crash with it.
+    static std::vector<request_fingerprint> indistinguishableFrom(const suspected_crashes&, const request_fingerprint&);
     void quarantine(const request_fingerprint&, const crash_set&);
-    void suspend(const suspicions& open);
-    // When the others can have told who else was at the crash that completed `count` of them.
+    void suspend(const suspected_crashes& open);
+    // Returns when the other gateways have had time to report which requests were at the crash that completed `count`.
     time_point settledAt(const suspect&, const crash_set&, std::size_t count) const;
-    void updateLimits();
+    void updateRetention();
     void updateDigest();
 
     const options m_options;
--- a/coltsfootbend/quarantine/crash_history_test.cpp
+++ b/coltsfootbend/quarantine/crash_history_test.cpp
@@ -11,9 +11,9 @@
 using namespace std::chrono_literals;
 
 const request_fingerprint fatal("fatal");
-const request_fingerprint bystander("bystander");
+const request_fingerprint unrelated("bystander");
 const time_point start = time_point {} + 24h;
-const duration settled = crash_history::options().settle;
+const duration settled = crash_history::options().settlingTime;
 
 crash_record at(const request_fingerprint& request, int server, time_point when = start)
 {
@@ -27,43 +27,44 @@
     history.add({ at(fatal, 2) }, start + 1s);
     EXPECT_FALSE(history.isQuarantined(fatal, start + 1h));
     history.add({ at(fatal, 3, start + 2s) }, start + 2s);
-    EXPECT_FALSE(history.isQuarantined(fatal, start + 2s)) << "others may still tell who else was there";
+    EXPECT_FALSE(history.isQuarantined(fatal, start + 2s))
+        << "the other gateways may still report which requests were there";
     EXPECT_TRUE(history.isQuarantined(fatal, start + 2s + settled));
 }
 
-// Each crash takes a whole group down for seconds, so that the third one is not waited for while the request comes on.
+// Guards against a third outage of a whole group while a request that was at two crashes is sent again and again.
 TEST(CrashHistory, ARequestIsSuspendedForAMinuteAfterTwoCrashes)
 {
     crash_history history;
-    history.add({ at(fatal, 1), at(bystander, 1) }, start);
+    history.add({ at(fatal, 1), at(unrelated, 1) }, start);
     EXPECT_FALSE(history.refusedUntil(fatal, start + 1s));
     history.add({ at(fatal, 2, start + 5s) }, start + 5s);
     EXPECT_EQ(history.refusedUntil(fatal, start + 5s + settled), start + 65s);
-    EXPECT_FALSE(history.refusedUntil(bystander, start + 6s));
-    EXPECT_FALSE(history.refusedUntil(fatal, start + 65s)) << "it was no proof";
+    EXPECT_FALSE(history.refusedUntil(unrelated, start + 6s));
+    EXPECT_FALSE(history.refusedUntil(fatal, start + 65s)) << "two crashes are no proof";
     history.add({ at(fatal, 3, start + 70s) }, start + 70s);
     EXPECT_EQ(history.refusedUntil(fatal, start + 71s), start + 70s + 60min);
 }
 
-TEST(CrashHistory, WhileTwoRequestsWereAtTheSameTwoCrashesNeitherIsSuspended)
+TEST(CrashHistory, TwoRequestsAtTheSameTwoCrashesAreNotSuspended)
 {
     crash_history history;
     for (int server = 1; server <= 2; ++server)
-        history.add({ at(fatal, server), at(bystander, server) }, start);
+        history.add({ at(fatal, server), at(unrelated, server) }, start);
     EXPECT_FALSE(history.refusedUntil(fatal, start + settled));
-    EXPECT_FALSE(history.refusedUntil(bystander, start + settled));
+    EXPECT_FALSE(history.refusedUntil(unrelated, start + settled));
 }
 
-TEST(CrashHistory, AGoodEndEndsASuspension)
+TEST(CrashHistory, ASuccessEndsASuspension)
 {
     crash_history history;
-    history.add({ at(bystander, 1), at(bystander, 2) }, start);
-    EXPECT_TRUE(history.refusedUntil(bystander, start + settled));
-    history.clear(bystander);
-    EXPECT_FALSE(history.refusedUntil(bystander, start + settled));
+    history.add({ at(unrelated, 1), at(unrelated, 2) }, start);
+    EXPECT_TRUE(history.refusedUntil(unrelated, start + settled));
+    history.clear(unrelated);
+    EXPECT_FALSE(history.refusedUntil(unrelated, start + settled));
 }
 
-TEST(CrashHistory, TheSameCrashCountsOnceHoweverOftenItIsTold)
+TEST(CrashHistory, ACrashReportedRepeatedlyCountsOnce)
 {
     crash_history history;
     for (int i = 0; i < 5; ++i)
@@ -71,36 +72,36 @@
     EXPECT_EQ(history.crashes(fatal), 2U);
 }
 
-TEST(CrashHistory, WhoWasOftenBesideTheCauseIsNotQuarantinedWithIt)
+TEST(CrashHistory, ARequestOftenInFlightWithTheCauseIsNotQuarantined)
 {
     crash_history history;
     for (int server = 1; server <= 4; ++server)
         history.add({ at(fatal, server) }, start);
     for (int server = 2; server <= 4; ++server)
-        history.add({ at(bystander, server) }, start);
+        history.add({ at(unrelated, server) }, start);
     EXPECT_TRUE(history.isQuarantined(fatal, start + settled));
-    EXPECT_FALSE(history.isQuarantined(bystander, start + settled));
-    EXPECT_EQ(history.crashes(bystander), 0U);
+    EXPECT_FALSE(history.isQuarantined(unrelated, start + settled));
+    EXPECT_EQ(history.crashes(unrelated), 0U);
 }
 
-TEST(CrashHistory, WhileTwoRequestsWereAtTheSameCrashesNeitherIsBlamed)
+TEST(CrashHistory, TwoRequestsAtTheSameCrashesAreNotQuarantined)
 {
     crash_history history;
     for (int server = 1; server <= 3; ++server)
-        history.add({ at(fatal, server), at(bystander, server) }, start);
+        history.add({ at(fatal, server), at(unrelated, server) }, start);
     EXPECT_FALSE(history.isQuarantined(fatal, start + settled));
-    EXPECT_FALSE(history.isQuarantined(bystander, start + settled));
+    EXPECT_FALSE(history.isQuarantined(unrelated, start + settled));
     history.add({ at(fatal, 4) }, start);
-    EXPECT_TRUE(history.isQuarantined(fatal, start + settled)) << "the next crash tells which";
-    EXPECT_FALSE(history.isQuarantined(bystander, start + settled));
+    EXPECT_TRUE(history.isQuarantined(fatal, start + settled)) << "the next crash distinguishes them";
+    EXPECT_FALSE(history.isQuarantined(unrelated, start + settled));
 }
 
-TEST(CrashHistory, RequestsThatAlwaysCrashServersTogetherAreBothQuarantinedInTheEnd)
+TEST(CrashHistory, OneOfTwoIndistinguishableRequestsIsQuarantinedAfterFiveCrashes)
 {
     crash_history history;
     for (int server = 1; server <= 5; ++server)
-        history.add({ at(fatal, server), at(bystander, server) }, start);
-    EXPECT_TRUE(history.isQuarantined(fatal, start + settled) || history.isQuarantined(bystander, start + settled));
+        history.add({ at(fatal, server), at(unrelated, server) }, start);
+    EXPECT_TRUE(history.isQuarantined(fatal, start + settled) || history.isQuarantined(unrelated, start + settled));
 }
 
 TEST(CrashHistory, TwoRequestsThatCrashServersAreBothQuarantined)
@@ -112,7 +113,7 @@
     EXPECT_TRUE(history.isQuarantined(fatal, start + settled) && history.isQuarantined(other, start + settled));
 }
 
-TEST(CrashHistory, ACrashAtWhichTheCauseWasCountsAgainstNobodyElse)
+TEST(CrashHistory, ACrashOfTheCauseDoesNotCountAgainstOtherRequests)
 {
     crash_history history;
     const request_fingerprint other("other");
@@ -124,35 +125,35 @@
     EXPECT_TRUE(history.isQuarantined(other, start + settled));
 }
 
-TEST(CrashHistory, AGoodEndClearsARequestForGood)
+TEST(CrashHistory, ASuccessClearsARequestPermanently)
 {
     crash_history history;
-    history.add({ at(bystander, 1), at(bystander, 2) }, start);
-    const auto cleared = history.clear(bystander);
+    history.add({ at(unrelated, 1), at(unrelated, 2) }, start);
+    const auto cleared = history.clear(unrelated);
     ASSERT_EQ(cleared.size(), 2U);
     EXPECT_TRUE(cleared.front().isCleared);
-    EXPECT_TRUE(history.clear(bystander).empty()) << "no news the second time";
-    history.add({ at(bystander, 1), at(bystander, 2), at(bystander, 3) }, start);
-    EXPECT_EQ(history.crashes(bystander), 1U) << "what others still tell of the first two counts no more";
+    EXPECT_TRUE(history.clear(unrelated).empty()) << "the second call changes nothing";
+    history.add({ at(unrelated, 1), at(unrelated, 2), at(unrelated, 3) }, start);
+    EXPECT_EQ(history.crashes(unrelated), 1U) << "late reports of the first two crashes do not count";
 }
 
-TEST(CrashHistory, SuspectsAndQuarantinesAreForgottenInTime)
+TEST(CrashHistory, SuspectsAndQuarantinesExpire)
 {
     crash_history history;
-    history.add({ at(bystander, 1) }, start);
+    history.add({ at(unrelated, 1) }, start);
     history.add({ at(fatal, 2), at(fatal, 3), at(fatal, 4) }, start);
     history.expire(start + 10min);
-    EXPECT_TRUE(history.recordsOf(bystander).empty());
+    EXPECT_TRUE(history.recordsOf(unrelated).empty());
     EXPECT_TRUE(history.isQuarantined(fatal, start + 59min));
     EXPECT_EQ(history.refusedUntil(fatal, start + 1min), start + 60min);
     EXPECT_FALSE(history.isQuarantined(fatal, start + 60min));
     history.expire(start + 60min);
     EXPECT_TRUE(history.isEmpty());
     history.add({ at(fatal, 2) }, start + 61min);
-    EXPECT_TRUE(history.isEmpty()) << "old news from others do not bring it back";
+    EXPECT_TRUE(history.isEmpty()) << "reports of expired crashes are ignored";
 }
 
-TEST(CrashHistory, IsBoundedAndKeepsWhoIsMostSuspected)
+TEST(CrashHistory, IsBoundedAndKeepsTheMostSuspectedRequest)
 {
     crash_history history({ .maxRecords = 10 });
     history.add({ at(fatal, 1), at(fatal, 2), at(fatal, 3) }, start);
@@ -163,7 +164,7 @@
     EXPECT_TRUE(history.isQuarantined(fatal, start + settled));
 }
 
-RC_GTEST_PROP(CrashHistory, AllVmsComeToTheSameVerdictsInWhateverOrderTheyAreTold, ())
+RC_GTEST_PROP(CrashHistory, VerdictsDoNotDependOnTheOrderOfRecords, ())
 {
     std::vector<crash_record> records;
     const auto count = *rc::gen::inRange(1, 60);
@@ -183,32 +184,33 @@
     RC_ASSERT(one.quarantined() == other.quarantined());
 }
 
-// Servers crash by one request, and some by themselves. Bystanders change from crash to crash as requests under way do.
-RC_GTEST_PROP(CrashHistory, TheCauseIsFoundWithinSixCrashesAndNobodyElseIsBlamed, ())
+// Most servers crash because of one request, and some without any. The unrelated requests in flight differ from crash
+// to crash.
+RC_GTEST_PROP(CrashHistory, FindsTheCauseWithinSixCrashesAndNoOtherRequest, ())
 {
     std::minstd_rand random(*rc::gen::arbitrary<unsigned>());
     const auto draw = [&](int until) { return std::uniform_int_distribution<int>(0, until - 1)(random); };
     crash_history history;
     constexpr int others = 60;
-    constexpr int aboard = 8;
-    int fatalCrashes = 0;
+    constexpr int requestsPerServer = 8;
+    int crashesByFatal = 0;
     for (int server = 0; !history.quarantined().contains(fatal); ++server) {
         std::vector<crash_record> records;
-        records.reserve(aboard + 1);
-        const bool isByItself = draw(4) == 0;
-        for (int i = 0; i < aboard; ++i)
+        records.reserve(requestsPerServer + 1);
+        const bool isUnrelatedCrash = draw(4) == 0;
+        for (int i = 0; i < requestsPerServer; ++i)
             records.push_back(at(request_fingerprint("r" + std::to_string(draw(others))), server));
-        if (!isByItself) {
+        if (!isUnrelatedCrash) {
             records.push_back(at(fatal, server));
-            ++fatalCrashes;
+            ++crashesByFatal;
         }
         history.add(records, start);
-        // Most of those that were there are run to a good end before the next crash.
+        // Most of the unrelated requests succeed before the next crash.
         for (int i = 0; i < others; ++i) {
             if (draw(3) > 0)
                 history.clear(request_fingerprint("r" + std::to_string(i)));
         }
-        RC_ASSERT(fatalCrashes <= 6);
+        RC_ASSERT(crashesByFatal <= 6);
     }
     RC_ASSERT(history.quarantined() == std::set { fatal });
 }
--- a/coltsfootbend/quarantine/datagram_crash_channel.h
+++ b/coltsfootbend/quarantine/datagram_crash_channel.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Sends what is known of crashes as datagrams.
+// Sends crash reports as datagrams, which may be lost.
 //
 //     datagram_crash_channel channel(settings.vm, *socket);
 //     crash_gossip gossip(history, channel);
@@ -13,6 +13,7 @@
 
 namespace coltsfootbend {
 
+// Sends the crash reports of one VM through its datagram socket.
 class datagram_crash_channel final : public crash_channel {
 public:
     datagram_crash_channel(vm_id sender, datagram_socket& socket)
--- a/coltsfootbend/quarantine/request_fingerprint.cpp
+++ b/coltsfootbend/quarantine/request_fingerprint.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t fingerprintBytes = 16;
 constexpr std::size_t shortDigits = 12;
 
-// With its length before it: parts that only join to the same text are different ones.
+// Appends `part` prefixed by its length, so that different parts never concatenate to the same text.
 void append(std::string& text, std::string_view part)
 {
     text += std::to_string(part.size());
@@ -33,7 +33,7 @@
 
 } // namespace
 
-// A cryptographic hash, so that no caller can make a request that is taken for another one's.
+// Uses a cryptographic hash, so that no caller can forge a request with the fingerprint of another caller's request.
 request_fingerprint fingerprintOf(const fingerprint_source& source)
 {
     std::string text;
--- a/coltsfootbend/quarantine/request_fingerprint.h
+++ b/coltsfootbend/quarantine/request_fingerprint.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What makes two attempts the same request: they ask for the same thing, with the same body, for the same caller. Their
-// ids and deadlines differ, and so may the VM at which they arrive. Not for telling attempts apart, and not secret.
+// Identifies a request by its content: attempts with the same method, host, target, caller and body have the same
+// fingerprint, whatever their ids, deadlines and entry VMs are. Does not distinguish attempts, and is not secret.
 //
 //     const auto fingerprint = fingerprintOf({ .method = "POST", .host = "h", .target = "/p", .caller = "c", .body = b
 //     });
@@ -16,18 +16,19 @@
 // The first 128 bits of a SHA-256, as 32 hexadecimal digits.
 using request_fingerprint = text_id<struct request_fingerprint_tag>;
 
+// The parts of a request that determine its fingerprint.
 struct fingerprint_source {
     std::string_view method;
     std::string_view host;
     std::string_view target;
-    std::string_view caller; // Whoever the request is made for; empty on open routes.
+    std::string_view caller; // The caller on whose behalf the request is made; empty on open routes.
     std::string_view body;
 };
 
-// Returns the same on every VM. O(length).
+// Returns the fingerprint of a request, which is the same on every VM. O(length).
 request_fingerprint fingerprintOf(const fingerprint_source&);
 
-// Returns the digits that logs show: enough to search for, few enough to read.
+// Returns the leading digits of a fingerprint for logs: enough to search for, and short enough to read.
 std::string shortName(const request_fingerprint&);
 
 } // namespace coltsfootbend
