--- a/coltsfootbend/permits/permit_desk.cpp
+++ b/coltsfootbend/permits/permit_desk.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-constexpr std::size_t mostLimitsTold = 8;
-// Nobody waits: a wish wakes the fiber.
-constexpr std::chrono::hours idleTime { 1 };
-// Beyond any time for which statements are kept, and short of what a time can hold.
-constexpr std::uint64_t longestAgeMs = 86'400'000;
+// Keeps a report of limits within one message.
+constexpr std::size_t maxReportedLimits = 8;
+// How long the fiber sleeps while no gateway waits for a permit. A new request wakes it earlier.
+constexpr std::chrono::hours idleWait { 1 };
+// Longer than any retention of statements, and short enough that the subtraction below cannot overflow.
+constexpr std::uint64_t maxAgeMs = 86'400'000;
 
 } // namespace
 
@@ -29,13 +30,13 @@
     return { .life = limit.life,
         .perSecond = std::max(0.0, limit.perSecond),
         .isNamed = limit.isNamed,
-        .at = now - std::chrono::milliseconds(std::min(limit.ageMs, longestAgeMs)) };
+        .at = now - std::chrono::milliseconds(std::min(limit.ageMs, maxAgeMs)) };
 }
 
 permit_desk::permit_desk(fiber_runtime& runtime, send_function send, const permit_issuer::options& options)
     : m_send(std::move(send))
     , m_issuer(options)
-    , m_hasWish(runtime)
+    , m_hasRequest(runtime)
 {
     runtime.spawn([this] { issueLoop(); });
 }
@@ -50,7 +51,7 @@
         return;
     m_issuer.wish(subject, asker, request.serial, now);
     m_send(gateway, replyTo(subject, asker, request.serial, now));
-    m_hasWish.notify();
+    m_hasRequest.notify();
 }
 
 wire::permit_reply permit_desk::replyTo(
@@ -66,13 +67,13 @@
 
 std::vector<wire::server_limit> permit_desk::limits(time_point now) const
 {
-    std::vector<wire::server_limit> told;
+    std::vector<wire::server_limit> reported;
     for (const auto& [subject, statement] : m_issuer.statements(now))
-        told.push_back(toWire(subject, statement, now));
-    // Servers that are gone are not heard of any more.
-    std::sort(told.begin(), told.end(), [](const auto& a, const auto& b) { return a.ageMs < b.ageMs; });
-    told.resize(std::min(told.size(), mostLimitsTold));
-    return told;
+        reported.push_back(toWire(subject, statement, now));
+    // The newest statements come first, so that removed servers are the ones left out of the message.
+    std::sort(reported.begin(), reported.end(), [](const auto& a, const auto& b) { return a.ageMs < b.ageMs; });
+    reported.resize(std::min(reported.size(), maxReportedLimits));
+    return reported;
 }
 
 void permit_desk::issueLoop()
@@ -85,14 +86,14 @@
             if (const auto gateway = parseEndpoint(permit.asker.text()))
                 m_send(*gateway, reply);
         }
-        (void)m_hasWish.waitUntil(m_issuer.nextAt().value_or(now + idleTime));
+        (void)m_hasRequest.waitUntil(m_issuer.nextAt().value_or(now + idleWait));
     }
 }
 
 void permit_desk::stop()
 {
     m_stopped = true;
-    m_hasWish.notify();
+    m_hasRequest.notify();
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/permits/permit_desk.h
+++ b/coltsfootbend/permits/permit_desk.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Issues permits for limited servers to gateways that ask by datagram, and says what servers have named. A permit goes
-// out when it is due, so that a gateway asks once and need not ask again and again. Runs a fiber until `stop`.
+// Serves permit requests that gateways send by datagram, and reports the rate limits that servers have stated. A permit
+// is sent when it is due, so that a gateway sends one request and does not poll. Runs a fiber until `stop`.
 //
 //     permit_desk desk(runtime, [&](const endpoint& gateway, const wire::permit_reply& reply) { ... });
 //     desk.hear(sender, request);
@@ -16,10 +16,12 @@
 
 namespace coltsfootbend {
 
-// Between processes, ages travel: the clocks of VMs differ.
+// Convert a statement to and from its wire form, which carries its age and not its time, since the clocks of VMs
+// differ.
 wire::server_limit toWire(const permit_subject&, const limit_statement&, time_point now);
 limit_statement fromWire(const wire::server_limit&, time_point now);
 
+// Owns a permit issuer and sends its permits to the gateways.
 class permit_desk {
 public:
     using send_function = std::function<void(const endpoint& gateway, const wire::permit_reply&)>;
@@ -28,11 +30,14 @@
     permit_desk(const permit_desk&) = delete;
     permit_desk& operator=(const permit_desk&) = delete;
 
+    // Records the limit in the request. If the gateway wants a permit, replies at once with the expected wait and
+    // queues the request.
     void hear(const endpoint& gateway, const wire::permit_request&);
-    // What is to be told to all gateways: the latest, as many as fit into one message.
+    // Returns the limits to report to all gateways: the most recent ones, as many as fit into one message.
     std::vector<wire::server_limit> limits(time_point now) const;
-    // To be called about once a second.
+    // Removes old statements. Call about once a second.
     void expire(time_point now) { m_issuer.expire(now); }
+    // Ends the fiber.
     void stop();
 
 private:
@@ -41,7 +46,7 @@
 
     const send_function m_send;
     permit_issuer m_issuer;
-    fiber_signal m_hasWish;
+    fiber_signal m_hasRequest;
     bool m_stopped = false;
 };
 
--- a/coltsfootbend/permits/permit_issuer.cpp
+++ b/coltsfootbend/permits/permit_issuer.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-time_point servedLast(const std::map<permit_asker, time_point>& servedAt, const permit_asker& asker)
+time_point lastGrantOf(const std::map<permit_asker, time_point>& lastGrantedAt, const permit_asker& asker)
 {
-    const auto found = servedAt.find(asker);
-    return found == servedAt.end() ? time_point {} : found->second;
+    const auto found = lastGrantedAt.find(asker);
+    return found == lastGrantedAt.end() ? time_point {} : found->second;
 }
 
 } // namespace
@@ -21,18 +21,18 @@
 
 bool permit_issuer::hear(const permit_subject& subject, const limit_statement& statement, time_point now)
 {
-    const auto [found, isNew] = m_subjects.try_emplace(subject);
+    const auto [found, isNewServer] = m_subjects.try_emplace(subject);
     auto& state = found->second;
-    if (!isNew && !state.statement.isOverruledBy(statement))
+    if (!isNewServer && !state.statement.isOverruledBy(statement))
         return false;
-    const bool wasNamed = !isNew && state.statement.isNamed && state.statement.life == statement.life;
+    const bool wasNamed = !isNewServer && state.statement.isNamed && state.statement.life == statement.life;
     const auto life = std::max(state.statement.life, statement.life);
     state.statement = statement;
     state.statement.life = life;
-    state.spokenOfAt = now;
+    state.lastReferencedAt = now;
     if (!statement.isNamed)
-        state.wishes.clear();
-    else if (!wasNamed) // What was issued elsewhere before is not known here.
+        state.requests.clear();
+    else if (!wasNamed) // Another process may have issued a permit just before, so a full interval must pass first.
         state.lastPermitAt = now;
     return true;
 }
@@ -45,12 +45,12 @@
 
 std::map<permit_subject, limit_statement> permit_issuer::statements(time_point now) const
 {
-    std::map<permit_subject, limit_statement> told;
+    std::map<permit_subject, limit_statement> reported;
     for (const auto& [subject, state] : m_subjects) {
-        if (state.statement.isNamed || now < state.statement.at + m_options.endToldFor)
-            told.emplace(subject, state.statement);
+        if (state.statement.isNamed || now < state.statement.at + m_options.endReportedFor)
+            reported.emplace(subject, state.statement);
     }
-    return told;
+    return reported;
 }
 
 void permit_issuer::wish(const permit_subject& subject, const permit_asker& asker, std::uint64_t serial, time_point now)
@@ -59,31 +59,31 @@
     if (found == m_subjects.end() || !found->second.statement.isNamed)
         return;
     auto& state = found->second;
-    state.spokenOfAt = now;
-    if (m_options.drawSeed && state.wishes.empty() && dueAt(state) <= now) {
-        const auto wait
+    state.lastReferencedAt = now;
+    if (m_options.drawSeed && state.requests.empty() && dueAt(state) <= now) {
+        const auto delayMs
             = std::uniform_real_distribution<double>()(m_random) * toMilliseconds(interval(state.statement));
-        state.lastPermitAt = now + fromMilliseconds(wait) - interval(state.statement);
+        state.lastPermitAt = now + fromMilliseconds(delayMs) - interval(state.statement);
     }
-    state.wishes[asker] = { .serial = serial, .until = now + m_options.wishLimit };
+    state.requests[asker] = { .serial = serial, .until = now + m_options.requestTimeout };
 }
 
-bool permit_issuer::goesBefore(const subject_state& state, const permit_asker& a, const permit_asker& b)
+bool permit_issuer::isServedBefore(const subject_state& state, const permit_asker& a, const permit_asker& b)
 {
-    return std::pair(servedLast(state.servedAt, a), a) < std::pair(servedLast(state.servedAt, b), b);
+    return std::pair(lastGrantOf(state.lastGrantedAt, a), a) < std::pair(lastGrantOf(state.lastGrantedAt, b), b);
 }
 
 std::vector<permit_issuer::permit> permit_issuer::issue(time_point now)
 {
     std::vector<permit> issued;
     for (auto& [subject, state] : m_subjects) {
-        std::erase_if(state.wishes, [now](const auto& entry) { return now >= entry.second.until; });
-        while (!state.wishes.empty() && dueAt(state) <= now) {
-            const auto first = std::min_element(state.wishes.begin(), state.wishes.end(),
-                [&state = state](const auto& a, const auto& b) { return goesBefore(state, a.first, b.first); });
+        std::erase_if(state.requests, [now](const auto& entry) { return now >= entry.second.until; });
+        while (!state.requests.empty() && dueAt(state) <= now) {
+            const auto first = std::min_element(state.requests.begin(), state.requests.end(),
+                [&state = state](const auto& a, const auto& b) { return isServedBefore(state, a.first, b.first); });
             issued.push_back({ .subject = subject, .asker = first->first, .serial = first->second.serial });
-            state.servedAt[first->first] = now;
-            state.wishes.erase(first);
+            state.lastGrantedAt[first->first] = now;
+            state.requests.erase(first);
             state.lastPermitAt = std::max<time_point>(dueAt(state), now - m_options.catchUpLimit);
         }
     }
@@ -94,7 +94,7 @@
 {
     std::optional<time_point> next;
     for (const auto& [subject, state] : m_subjects) {
-        if (!state.wishes.empty())
+        if (!state.requests.empty())
             next = next ? std::min(*next, dueAt(state)) : dueAt(state);
     }
     return next;
@@ -107,17 +107,19 @@
     if (found == m_subjects.end())
         return { .expectedAt = now, .askers = 0 };
     const auto& state = found->second;
-    const auto ahead = std::count_if(state.wishes.begin(), state.wishes.end(),
-        [&](const auto& entry) { return entry.first != asker && goesBefore(state, entry.first, asker); });
+    const auto ahead = std::count_if(state.requests.begin(), state.requests.end(),
+        [&](const auto& entry) { return entry.first != asker && isServedBefore(state, entry.first, asker); });
     return { .expectedAt = std::max(dueAt(state), now) + ahead * interval(state.statement),
-        .askers = static_cast<std::uint32_t>(state.wishes.size()) };
+        .askers = static_cast<std::uint32_t>(state.requests.size()) };
 }
 
 void permit_issuer::expire(time_point now)
 {
-    std::erase_if(m_subjects, [&](const auto& entry) { return now >= entry.second.spokenOfAt + m_options.memory; });
+    std::erase_if(m_subjects,
+        [&](const auto& entry) { return now >= entry.second.lastReferencedAt + m_options.statementRetention; });
     for (auto& [subject, state] : m_subjects)
-        std::erase_if(state.servedAt, [&](const auto& entry) { return now >= entry.second + m_options.memory; });
+        std::erase_if(
+            state.lastGrantedAt, [&](const auto& entry) { return now >= entry.second + m_options.statementRetention; });
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/permits/permit_issuer.h
+++ b/coltsfootbend/permits/permit_issuer.h
@@ -1,10 +1,11 @@
 #pragma once
 
-// Shares what a backend server takes of requests a second among the gateways: each request to it needs a permit, and
-// one process knows of all of them. Permits are issued evenly and never saved up, so that no number of idle or
-// restarted gateways adds to the rate. Deterministic; not for talking to gateways: see `permits/permit_desk.h`.
+// Divides the request rate that a backend server accepts among the gateways: each request to a limited server needs a
+// permit, and one process issues all permits of a server. Permits are issued at even intervals and do not accumulate,
+// so that idle or restarted gateways never raise the rate above the limit. Deterministic; does not communicate with
+// gateways: see `permits/permit_desk.h`.
 //
-//     issuer.hear(server, { .life = 7, .perSecond = 1.5, .isNamed = true, .at = heardAt }, now);
+//     issuer.hear(server, { .life = 7, .perSecond = 1.5, .isNamed = true, .at = receivedAt }, now);
 //     issuer.wish(server, gateway, serial, now);
 //     for (const auto& permit : issuer.issue(now)) ...
 
@@ -19,53 +20,58 @@
 
 namespace coltsfootbend {
 
-// A backend server by its registered name, and a gateway by its address.
+// Identify a backend server by its registered name, and a gateway by its address.
 using permit_subject = text_id<struct permit_subject_tag>;
 using permit_asker = text_id<struct permit_asker_tag>;
 
-// What a server said of the requests that it takes.
+// A backend server's statement of the request rate that it accepts.
 struct limit_statement {
-    std::uint64_t life = 0; // Of the server; 0 where it was not told.
-    double perSecond = 0;
-    bool isNamed = false; // False: it names no limit any more.
-    time_point at {}; // When a gateway heard it.
+    std::uint64_t life = 0; // Incarnation of the server; 0 if unknown.
+    double perSecond = 0; // Accepted requests per second.
+    bool isNamed = false; // False if the server no longer states a limit.
+    time_point at {}; // When a gateway received it.
 
-    // A later life goes before any statement of a former one; of one life the last word counts.
+    // Returns whether `other` replaces this statement: a later incarnation replaces an earlier one, and within an
+    // incarnation the newer statement replaces the older one.
     bool isOverruledBy(const limit_statement& other) const
     {
-        const bool isSameLife = life == other.life || life == 0 || other.life == 0;
-        return isSameLife ? other.at >= at : other.life > life;
+        const bool isSameIncarnation = life == other.life || life == 0 || other.life == 0;
+        return isSameIncarnation ? other.at >= at : other.life > life;
     }
 };
 
+// Issues the permits of all servers for which one process is responsible.
 class permit_issuer {
 public:
     struct options {
-        // A server that takes less, or nothing, is asked this often all the same: nobody else would learn when it takes
-        // more.
+        // Minimum permits per second for a server that accepts fewer requests or none. Without these requests, no
+        // gateway would receive a higher limit from the server.
         double leastPerSecond = 0.2;
-        // A gateway that still wants its permit says so sooner.
-        duration wishLimit = std::chrono::milliseconds(1200);
-        // Permits that came due while nobody looked are made up for as far back as this.
+        // How long a permit request is valid. A gateway that still needs the permit repeats its request within this
+        // time.
+        duration requestTimeout = std::chrono::milliseconds(1200);
+        // Permits that became due between two calls of `issue` are issued late by up to this time; older ones lapse.
         duration catchUpLimit = std::chrono::milliseconds(50);
-        // What a server said that nobody has spoken of for so long is forgotten.
-        duration memory = std::chrono::minutes(10);
-        // Set where many processes issue a part of the rate each, since there is none that knows of all: a permit then
-        // comes at a drawn time after the wish, for of those that were idle each would issue one at the same moment.
+        // How long a statement is stored after the last message about its server.
+        duration statementRetention = std::chrono::minutes(10);
+        // Seed of the random delay of a permit after an idle time. Set where many processes issue a share of the rate
+        // each, since no process receives all requests: without the delay, all idle issuers would issue a permit at the
+        // same moment. None means no delay.
         std::optional<std::uint32_t> drawSeed;
-        // For so long others are told that a server names no limit any more.
-        duration endToldFor = std::chrono::seconds(5);
+        // How long the end of a limit is reported to the other processes.
+        duration endReportedFor = std::chrono::seconds(5);
     };
 
+    // The permission for one request of a gateway to a server.
     struct permit {
         permit_subject subject;
         permit_asker asker;
-        std::uint64_t serial = 0;
+        std::uint64_t serial = 0; // Number of the request, set by the gateway.
     };
-    // What a gateway that waits can expect.
+    // Estimate of the wait of a gateway for its permit.
     struct outlook {
-        time_point expectedAt {}; // Of the permit for this gateway.
-        std::uint32_t askers = 0; // That wait now, this one included.
+        time_point expectedAt {}; // When this gateway's permit is expected to be issued.
+        std::uint32_t askers = 0; // Number of waiting gateways, including this one.
     };
 
     permit_issuer()
@@ -78,41 +84,43 @@
     {
     }
 
-    // Returns false for a statement that was overruled by one heard before.
+    // Records a statement. Returns false if a statement received earlier replaces it.
     bool hear(const permit_subject&, const limit_statement&, time_point now);
-    // None when nobody spoke of it.
+    // Returns the statement of a server, or none if none was received.
     std::optional<limit_statement> statement(const permit_subject&) const;
-    // All that is to be told to others: limits, and that they have ended lately. O(subjects).
+    // Returns the statements to report to other processes: all limits, and the recent ends of limits. O(subjects).
     std::map<permit_subject, limit_statement> statements(time_point now) const;
 
-    // The gateway wants to send one request; a repeated wish replaces the one before. Without effect unless the server
-    // names a limit.
+    // Queues a gateway's request for one permit; a repeated one replaces the one before. Has no effect unless the
+    // server states a limit.
     void wish(const permit_subject&, const permit_asker&, std::uint64_t serial, time_point now);
-    // The permits that are due; whoever got none for longest goes first. O(subjects + wishes).
+    // Returns the permits that are due, first for the gateway whose last permit is the oldest. O(subjects + requests).
     std::vector<permit> issue(time_point now);
-    // When the next permit is due; none when nobody waits.
+    // Returns when the next permit is due; none if no gateway waits.
     std::optional<time_point> nextAt() const;
+    // Estimates when a gateway's permit will be issued.
     outlook outlookFor(const permit_subject&, const permit_asker&, time_point now) const;
 
+    // Removes the servers and gateways that no message has referred to within the retention.
     void expire(time_point now);
 
 private:
-    struct wish_state {
+    struct pending_request {
         std::uint64_t serial = 0;
         time_point until {};
     };
     struct subject_state {
         limit_statement statement;
-        time_point spokenOfAt {};
-        time_point lastPermitAt {}; // Or when this process began to issue.
-        std::map<permit_asker, wish_state> wishes;
-        std::map<permit_asker, time_point> servedAt; // The last permit of each.
+        time_point lastReferencedAt {};
+        time_point lastPermitAt {}; // Initially the time at which this process began to issue.
+        std::map<permit_asker, pending_request> requests;
+        std::map<permit_asker, time_point> lastGrantedAt; // Time of each gateway's last permit.
     };
 
     duration interval(const limit_statement&) const;
     time_point dueAt(const subject_state& state) const { return state.lastPermitAt + interval(state.statement); }
-    // Whether `a` goes before `b`, both of which wait.
-    static bool goesBefore(const subject_state&, const permit_asker& a, const permit_asker& b);
+    // Returns whether waiting gateway `a` is served before `b`.
+    static bool isServedBefore(const subject_state&, const permit_asker& a, const permit_asker& b);
 
     const options m_options;
     std::minstd_rand m_random;
--- a/coltsfootbend/permits/permit_issuer_test.cpp
+++ b/coltsfootbend/permits/permit_issuer_test.cpp
@@ -1,4 +1,4 @@
-// How what a server takes is shared among gateways by one that knows of all requests.
+// Tests how one issuer divides the rate of a limited server among gateways.
 
 #include "coltsfootbend/permits/permit_issuer.h"
 
@@ -21,19 +21,19 @@
     return { .life = life, .perSecond = perSecond, .isNamed = true, .at = at };
 }
 
-// Whoever wants permits all the time gets none more often than the server takes, however many want them, and whatever
-// the server names meanwhile.
-RC_GTEST_PROP(PermitIssuer, IssuesNoMoreThanTheServerTakes, ())
+// Checks that gateways which request permits continuously never receive more than the server accepts, whatever their
+// number and the limit are.
+RC_GTEST_PROP(PermitIssuer, IssuesNoMoreThanTheServerAccepts, ())
 {
     const auto gateways = *rc::gen::inRange(1, 120);
     const auto limit = *rc::gen::element(0.0, 0.2, 1.0, 1.1, 7.0, 40.0);
-    const auto wishEvery = std::chrono::milliseconds(*rc::gen::inRange(5, 900));
+    const auto requestInterval = std::chrono::milliseconds(*rc::gen::inRange(5, 900));
     permit_issuer issuer;
     std::vector<time_point> issued;
     for (auto now = start; now < start + 20s; now += 5ms) {
-        if ((now - start) % wishEvery < 5ms) {
+        if ((now - start) % requestInterval < 5ms) {
             for (int i = 0; i < gateways; ++i) {
-                // What each has heard is of another moment.
+                // Each gateway received the limit at a different time.
                 issuer.hear(server, named(limit, now - std::chrono::milliseconds(i)), now);
                 issuer.wish(server, gateway(i), 1, now);
             }
@@ -43,16 +43,16 @@
             issued.push_back(now);
         }
     }
-    const double most = std::max(limit, 0.2) * 4 * 1.05 + 1;
+    const double maxInWindow = std::max(limit, 0.2) * 4 * 1.05 + 1;
     for (auto first = issued.begin(); first != issued.end(); ++first) {
         const auto end = std::upper_bound(first, issued.end(), *first + 4s);
-        RC_ASSERT(static_cast<double>(end - first) <= most + 1);
+        RC_ASSERT(static_cast<double>(end - first) <= maxInWindow + 1);
     }
-    const double wished = gateways * 1000 / toMilliseconds(wishEvery);
-    RC_ASSERT(static_cast<double>(issued.size()) >= std::min(wished, std::max(limit, 0.2)) * 20 * 0.7 - 2);
+    const double requestedPerSecond = gateways * 1000 / toMilliseconds(requestInterval);
+    RC_ASSERT(static_cast<double>(issued.size()) >= std::min(requestedPerSecond, std::max(limit, 0.2)) * 20 * 0.7 - 2);
 }
 
-TEST(PermitIssuer, WhoeverGotNoneForLongestGoesFirst)
+TEST(PermitIssuer, ServesTheGatewayWithTheOldestPermitFirst)
 {
     permit_issuer issuer;
     issuer.hear(server, named(1, start), start);
@@ -68,49 +68,50 @@
         EXPECT_EQ(served[i], served[i - 3]);
 }
 
-TEST(PermitIssuer, WhatAGatewayDoesNotWantAnyMoreIsNotIssued)
+TEST(PermitIssuer, DropsRequestsThatAreNotRepeated)
 {
     permit_issuer issuer;
     issuer.hear(server, named(0.5, start), start);
     issuer.wish(server, gateway(1), 1, start);
     EXPECT_TRUE(issuer.issue(start + 1900ms).empty());
-    EXPECT_TRUE(issuer.issue(start + 2100ms).empty()) << "the wish is two seconds old";
+    EXPECT_TRUE(issuer.issue(start + 2100ms).empty()) << "the request is two seconds old";
 }
 
-TEST(PermitIssuer, APermitWaitsForNobodyButTheNextOneComesAfterIt)
+TEST(PermitIssuer, IssuesADuePermitAtOnceAndTheNextAfterAnInterval)
 {
     permit_issuer issuer;
     issuer.hear(server, named(1, start), start);
     const auto later = start + 60s;
     for (int i = 0; i < 5; ++i)
         issuer.wish(server, gateway(i), 1, later);
-    EXPECT_EQ(issuer.issue(later).size(), 1U) << "a minute of silence saves nothing up";
+    EXPECT_EQ(issuer.issue(later).size(), 1U) << "permits do not accumulate in an idle minute";
     EXPECT_NEAR(toMilliseconds(issuer.outlookFor(server, gateway(4), later).expectedAt - later), 4000, 100);
 }
 
-TEST(PermitIssuer, AProcessThatKnowsNothingYetIssuesNothingAtOnce)
+TEST(PermitIssuer, ANewIssuerWaitsForAnIntervalBeforeItsFirstPermit)
 {
     permit_issuer issuer;
     issuer.hear(server, named(1, start - 30s), start);
     issuer.wish(server, gateway(1), 1, start);
-    EXPECT_TRUE(issuer.issue(start).empty()) << "another one may have issued a moment ago";
+    EXPECT_TRUE(issuer.issue(start).empty()) << "another process may have issued a permit a moment ago";
     EXPECT_EQ(issuer.issue(start + 1s).size(), 1U);
 }
 
-TEST(PermitIssuer, TheLastWordOfALifeCountsWhateverOrderItComesIn)
+TEST(PermitIssuer, TheNewestStatementOfAnIncarnationCountsInAnyOrderOfArrival)
 {
     permit_issuer issuer;
     EXPECT_TRUE(issuer.hear(server, named(1, start + 2s, 7), start + 2s));
-    EXPECT_FALSE(issuer.hear(server, { .life = 7, .isNamed = false, .at = start + 1s }, start + 3s)) << "overtaken";
+    EXPECT_FALSE(issuer.hear(server, { .life = 7, .isNamed = false, .at = start + 1s }, start + 3s))
+        << "an older statement that arrives late";
     EXPECT_TRUE(issuer.hear(server, { .life = 7, .isNamed = false, .at = start + 3s }, start + 3s));
     issuer.wish(server, gateway(1), 1, start + 3s);
-    EXPECT_TRUE(issuer.issue(start + 9s).empty()) << "it needs no permits any more";
-    EXPECT_FALSE(issuer.hear(server, named(1, start + 4s, 6), start + 4s)) << "a former life";
-    EXPECT_TRUE(issuer.hear(server, named(2, start + 1s, 8), start + 4s)) << "a later one";
+    EXPECT_TRUE(issuer.issue(start + 9s).empty()) << "the server states no limit any more";
+    EXPECT_FALSE(issuer.hear(server, named(1, start + 4s, 6), start + 4s)) << "an earlier incarnation";
+    EXPECT_TRUE(issuer.hear(server, named(2, start + 1s, 8), start + 4s)) << "a later incarnation";
     EXPECT_EQ(issuer.statement(server)->perSecond, 2);
 }
 
-TEST(PermitIssuer, OthersAreToldOfAnEndForAWhile)
+TEST(PermitIssuer, ReportsTheEndOfALimitForAWhile)
 {
     permit_issuer issuer;
     issuer.hear(server, named(1, start), start);
