--- a/coltsfootbend/limits/admission_queue.cpp
+++ b/coltsfootbend/limits/admission_queue.cpp
@@ -10,7 +10,8 @@
 
 double inSeconds(duration value) { return std::chrono::duration<double>(value).count(); }
 
-constexpr std::chrono::milliseconds shortestRetryAfter { 50 };
+// Keeps callers from retrying at once where no wait is expected.
+constexpr std::chrono::milliseconds minRetryAfter { 50 };
 
 } // namespace
 
@@ -30,7 +31,7 @@
 
     std::vector<admission_decision> decisions;
     if (m_waitingCount >= m_options.maxWaiting && m_running.size() >= m_options.slots) {
-        decisions = pushOut(now, m_classes.empty() ? job.priority : m_classes.rbegin()->first, job);
+        decisions = evictFor(now, m_classes.empty() ? job.priority : m_classes.rbegin()->first, job);
         if (!decisions.empty() && decisions.back().attempt == job.attempt)
             return decisions;
     }
@@ -45,9 +46,9 @@
 {
     auto& customer = queue.customers[job.customer];
     if (customer.jobs.empty()) {
-        // An idle customer does not save up service: it joins at the present turn.
+        // An idle customer does not accumulate service: it joins at the current virtual time of the class.
         customer.virtualTime = std::max(customer.virtualTime, queue.virtualTime);
-        queue.turns.emplace(customer.virtualTime, job.customer);
+        queue.nextCustomers.emplace(customer.virtualTime, job.customer);
     }
     customer.weight = job.weight;
     customer.jobs.emplace(job.deadline, job);
@@ -69,25 +70,25 @@
     --queue.waiting;
     --m_waitingCount;
     if (customer.jobs.empty())
-        queue.turns.erase({ customer.virtualTime, name });
+        queue.nextCustomers.erase({ customer.virtualTime, name });
     return next;
 }
 
-// Makes room for `newcomer`: the job that goes is of the lowest class, and there of the customer whose waiting work is
-// the largest for its weight. That may be the newcomer itself.
-std::vector<admission_decision> admission_queue::pushOut(
-    time_point now, priority_class lowest, const admission_job& newcomer)
+// Frees capacity for `newJob` by refusing a job of the lowest class that has waiting jobs, of the customer with the
+// most waiting work in proportion to its weight. That job may be the new job itself.
+std::vector<admission_decision> admission_queue::evictFor(
+    time_point now, priority_class lowest, const admission_job& newJob)
 {
     auto victimClass = m_classes.rbegin();
     while (victimClass != m_classes.rend() && victimClass->second.waiting == 0)
         ++victimClass;
-    if (victimClass == m_classes.rend() || victimClass->first < newcomer.priority || lowest < newcomer.priority)
-        return { refuseJob(now, newcomer, refusal::QueueFull) };
+    if (victimClass == m_classes.rend() || victimClass->first < newJob.priority || lowest < newJob.priority)
+        return { refuseJob(now, newJob, refusal::QueueFull) };
 
     auto& queue = victimClass->second;
     customer_queue* victim = nullptr;
     double worst = 0;
-    for (const auto& turn : queue.turns) {
+    for (const auto& turn : queue.nextCustomers) {
         auto& candidate = queue.customers.at(turn.second);
         const double load = inSeconds(candidate.waitingService) / candidate.weight;
         if (!victim || load > worst) {
@@ -96,12 +97,12 @@
         }
     }
     if (!victim)
-        return { refuseJob(now, newcomer, refusal::QueueFull) };
-    if (victimClass->first == newcomer.priority) {
-        const auto own = queue.customers.find(newcomer.customer);
+        return { refuseJob(now, newJob, refusal::QueueFull) };
+    if (victimClass->first == newJob.priority) {
+        const auto own = queue.customers.find(newJob.customer);
         const auto ownWaiting = own == queue.customers.end() ? duration::zero() : own->second.waitingService;
-        if (inSeconds(ownWaiting + newcomer.expectedService) / newcomer.weight >= worst)
-            return { refuseJob(now, newcomer, refusal::QueueFull) };
+        if (inSeconds(ownWaiting + newJob.expectedService) / newJob.weight >= worst)
+            return { refuseJob(now, newJob, refusal::QueueFull) };
     }
     const auto last = std::prev(victim->jobs.end());
     const auto decision = refuseJob(now, last->second, refusal::QueueFull);
@@ -113,7 +114,7 @@
 {
     std::vector<admission_decision> decisions;
     if (m_running.erase(attempt) == 0) {
-        // It may have ended while it was paused.
+        // The job may have ended while it was paused.
         for (auto& [priority, queue] : m_classes) {
             m_pausedCount
                 -= std::erase_if(queue.paused, [&](const admission_job& job) { return job.attempt == attempt; });
@@ -129,7 +130,7 @@
     if (found == m_waitingClass.end())
         return;
     auto& queue = m_classes.at(found->second);
-    for (const auto& turn : queue.turns) {
+    for (const auto& turn : queue.nextCustomers) {
         auto& customer = queue.customers.at(turn.second);
         const auto position = std::find_if(customer.jobs.begin(), customer.jobs.end(),
             [&](const auto& entry) { return entry.second.attempt == attempt; });
@@ -185,19 +186,19 @@
             run(now, job, admission_verb::Resume, decisions);
             return true;
         }
-        if (queue.turns.empty())
+        if (queue.nextCustomers.empty())
             continue;
-        const auto [turn, name] = *queue.turns.begin();
+        const auto [turn, name] = *queue.nextCustomers.begin();
         auto& customer = queue.customers.at(name);
         const auto job = customer.jobs.begin()->second;
         removeJob(queue, customer, customer.jobs.begin());
-        queue.turns.erase({ turn, name });
+        queue.nextCustomers.erase({ turn, name });
         queue.virtualTime = turn;
         customer.virtualTime = turn + inSeconds(job.expectedService) / job.weight;
         if (!customer.jobs.empty())
-            queue.turns.emplace(customer.virtualTime, name);
+            queue.nextCustomers.emplace(customer.virtualTime, name);
         if (m_options.refuseLate && now + job.expectedService > job.deadline) {
-            // Work that ends too late is work lost to somebody else.
+            // A job that would end past its deadline would only take the slot from another job.
             decisions.push_back(refuseJob(now, job, refusal::DeadlineTooClose));
             return true;
         }
@@ -236,7 +237,7 @@
 admission_decision admission_queue::refuseJob(time_point now, const admission_job& job, refusal reason) const
 {
     const auto wait = remaining(now, now + expectedWait(now, job.priority, job.customer, job.weight));
-    return { admission_verb::Refuse, job.attempt, reason, std::max(wait, shortestRetryAfter) };
+    return { admission_verb::Refuse, job.attempt, reason, std::max(wait, minRetryAfter) };
 }
 
 duration admission_queue::fairWait(const class_queue& queue, const customer_id& name, double weight) const
@@ -244,13 +245,13 @@
     const auto own = queue.customers.find(name);
     const auto ownWaiting = own == queue.customers.end() ? duration::zero() : own->second.waitingService;
     double weights = 0;
-    for (const auto& turn : queue.turns)
+    for (const auto& turn : queue.nextCustomers)
         weights += queue.customers.at(turn.second).weight;
     if (ownWaiting == duration::zero())
         weights += weight;
     const double share = weight / std::max(weights, weight);
     const auto alone = fromMilliseconds(toMilliseconds(ownWaiting) / share);
-    // Shares that others do not use go round, so it never takes longer than everything that waits.
+    // Unused shares are redistributed, so the wait never exceeds the waiting work of the whole class.
     return std::min(alone, queue.waitingService);
 }
 
@@ -266,13 +267,13 @@
         else if (other == priority)
             ahead += fairWait(queue, customer, weight);
     }
-    duration soonest = duration::max();
+    duration untilFreeSlot = duration::max();
     for (const auto& [attempt, running] : m_running) {
-        const bool givesWay = running.job.preemptible && running.job.priority > priority;
-        const auto left = givesWay ? duration::zero() : std::max(running.expectedEnd - now, duration::zero());
-        soonest = std::min(soonest, left);
+        const bool isPreemptible = running.job.preemptible && running.job.priority > priority;
+        const auto left = isPreemptible ? duration::zero() : std::max(running.expectedEnd - now, duration::zero());
+        untilFreeSlot = std::min(untilFreeSlot, left);
     }
-    return soonest + ahead / static_cast<int>(m_options.slots);
+    return untilFreeSlot + ahead / static_cast<int>(m_options.slots);
 }
 
 duration admission_queue::pendingService(time_point now, priority_class lowest) const
--- a/coltsfootbend/limits/admission_queue_test.cpp
+++ b/coltsfootbend/limits/admission_queue_test.cpp
@@ -31,8 +31,8 @@
     return serials;
 }
 
-// Whatever comes in whatever order: no more run than there are slots, and each job ends exactly once.
-RC_GTEST_PROP(AdmissionQueue, KeepsItsSlotsAndLosesNoJob, ())
+// Checks for random sequences of jobs that no more jobs run than there are slots, and that each job ends exactly once.
+RC_GTEST_PROP(AdmissionQueue, RunsNoMoreThanItsSlotsAndLosesNoJob, ())
 {
     const auto slots = *rc::gen::inRange<std::size_t>(1, 5);
     admission_queue queue({ .slots = slots, .maxWaiting = 6 });
@@ -99,11 +99,11 @@
     (void)queue.submit(start, job(4, 1));
     const auto after = queue.complete(start + 10ms, job(3).attempt);
     ASSERT_EQ(after.size(), 1U);
-    EXPECT_EQ(after[0].verb, admission_verb::Resume) << "what was paused goes on before anything new of its class";
+    EXPECT_EQ(after[0].verb, admission_verb::Resume) << "a paused job resumes before new jobs of its class start";
     EXPECT_EQ(after[0].attempt.serial, 2U);
 }
 
-TEST(AdmissionQueue, DoesNotPreemptWhatCannotBePaused)
+TEST(AdmissionQueue, DoesNotPreemptJobsThatCannotBePaused)
 {
     admission_queue queue({ .slots = 1, .maxWaiting = 8 });
     auto plain = job(1, 5);
@@ -133,7 +133,7 @@
     EXPECT_EQ(heavy, 20);
 }
 
-TEST(AdmissionQueue, AFullQueueShedsFromTheCustomerWithMost)
+TEST(AdmissionQueue, AFullQueueRefusesJobsOfTheCustomerWithTheMostWaitingWork)
 {
     admission_queue queue({ .slots = 1, .maxWaiting = 4 });
     for (std::uint64_t i = 1; i <= 5; ++i)
@@ -147,7 +147,7 @@
     EXPECT_EQ(own.front().attempt.serial, 10U);
 }
 
-TEST(AdmissionQueue, RefusesEarlyWhatCannotBeInTime)
+TEST(AdmissionQueue, RefusesAJobThatCannotMeetItsDeadline)
 {
     admission_queue queue({ .slots = 1, .maxWaiting = 100 });
     for (std::uint64_t i = 1; i <= 10; ++i)
@@ -166,10 +166,10 @@
         (void)queue.submit(start, job(i, 0, "flooder"));
     auto small = job(999, 0, "small");
     small.deadline = start + 500ms;
-    EXPECT_TRUE(queue.submit(start, small).empty()) << "it waits, for its share comes soon";
+    EXPECT_TRUE(queue.submit(start, small).empty()) << "the customer receives its share in time";
 }
 
-TEST(AdmissionQueue, LeavingRefusesWhatWaitsAndLetsTheRestEnd)
+TEST(AdmissionQueue, LeavingRefusesWaitingJobsAndLetsRunningOnesEnd)
 {
     admission_queue queue({ .slots = 1, .maxWaiting = 8 });
     (void)queue.submit(start, job(1));
--- a/coltsfootbend/limits/patience_tracker.h
+++ b/coltsfootbend/limits/patience_tracker.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Tells callers that come back after a refusal from new ones, by how long they say they will still wait: a caller that
-// was here before has used up some of its time. One for each gateway; knows nothing of single callers.
+// Distinguishes callers that return after a refusal from new ones by their remaining timeout: a returning caller has
+// used up part of its time. Each gateway has one tracker, which stores nothing about single callers.
 //
-//     if (patience.isReturning(route, timeLeft, timeout)) // late already: behind the new ones
+//     if (patience.isReturning(route, timeLeft, timeout)) // queue the request behind those of new callers
 
 #include "coltsfootbend/base/time.h"
 
@@ -14,25 +14,28 @@
 
 namespace coltsfootbend {
 
+// Estimates for each route how long its callers wait.
 class patience_tracker {
 public:
-    // `timeLeft`: what the caller says; `timeout`: the route's, which stands for the callers' usual patience until
-    // enough of them were seen. O(log routes).
+    // Returns whether the caller has been refused before. `timeLeft` is the remaining time that the caller states, and
+    // `timeout` is that of the route, a lower bound of the callers' usual timeout until `minCallersSeen` of them were
+    // seen. O(log routes).
     bool isReturning(const std::string& route, duration timeLeft, duration timeout)
     {
         auto& known = m_routes[route];
         known.longest = std::max(known.longest, timeLeft);
         ++known.seen;
-        const auto usual = known.seen < enough ? std::max(known.longest, timeout) : known.longest;
-        return toMilliseconds(timeLeft) < newcomerShare * toMilliseconds(usual);
+        const auto usual = known.seen < minCallersSeen ? std::max(known.longest, timeout) : known.longest;
+        return toMilliseconds(timeLeft) < newCallerShare * toMilliseconds(usual);
     }
 
 private:
-    // Callers of a route that have to be seen before its timeout is not needed any more.
-    static constexpr std::uint32_t enough = 20;
-    // New callers' own limits differ: they lie evenly between 0.85 and 1 of the longest. Whoever was refused
-    // and told to come back within that range cannot be told from them, and is treated as well as they are.
-    static constexpr double newcomerShare = 0.84;
+    // Number of callers of a route from which on their longest timeout replaces the timeout of the route.
+    static constexpr std::uint32_t minCallersSeen = 20;
+    // Share of the longest timeout below which a caller counts as returning. The timeouts of new callers are spread
+    // evenly between 0.85 and 1 of the longest, so a returning caller within that range cannot be distinguished from
+    // new ones and is treated as one of them.
+    static constexpr double newCallerShare = 0.84;
 
     struct route_patience {
         duration longest {};
--- a/coltsfootbend/limits/patience_tracker_test.cpp
+++ b/coltsfootbend/limits/patience_tracker_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(PatienceTracker, ACallerWithLessTimeThanUsualWasHereBefore)
+TEST(PatienceTracker, ACallerWithLessTimeThanUsualIsReturning)
 {
     patience_tracker tracker;
     EXPECT_FALSE(tracker.isReturning("r", 8s, 8s));
@@ -15,8 +15,9 @@
     EXPECT_FALSE(tracker.isReturning("r", 7990ms, 8s));
 }
 
-// Replays what callers of the grown deployments state: taken for returning, three in four new ones were made to wait.
-TEST(PatienceTracker, NewCallersWhosePatienceDiffersAreNotTakenForReturningOnes)
+// Guards against treating new callers as returning ones because their timeouts differ, which made three of four new
+// callers wait. The timeouts are those that callers state, spread over 15 % of the longest.
+TEST(PatienceTracker, NewCallersWithDifferentTimeoutsAreNotReturning)
 {
     patience_tracker tracker;
     int returning = 0;
@@ -26,13 +27,13 @@
     EXPECT_TRUE(tracker.isReturning("r", 6600ms, 8s));
 }
 
-TEST(PatienceTracker, AfterARestartTheTimeoutStandsForTheUsualPatience)
+TEST(PatienceTracker, UsesTheTimeoutOfTheRouteAfterARestart)
 {
     patience_tracker tracker;
     EXPECT_TRUE(tracker.isReturning("r", 5s, 8s));
 }
 
-TEST(PatienceTracker, CallersWithLessPatienceThanTheTimeoutAreSoonKnown)
+TEST(PatienceTracker, LearnsThatCallersHaveShorterTimeoutsThanTheRoute)
 {
     patience_tracker tracker;
     for (int i = 0; i < 20; ++i)
@@ -41,7 +42,7 @@
     EXPECT_TRUE(tracker.isReturning("r", 2s, 8s));
 }
 
-TEST(PatienceTracker, AShortenedTimeoutDoesNotMakeNewCallersLookLate)
+TEST(PatienceTracker, AShortenedRouteTimeoutDoesNotMakeNewCallersReturning)
 {
     patience_tracker tracker;
     (void)tracker.isReturning("r", 8s, 8s);
--- a/coltsfootbend/limits/retry_budget.h
+++ b/coltsfootbend/limits/retry_budget.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Bounds retries to a share of recent successes, so that a failing backend server is not buried under its own retries.
-// One per entry VM and deployment. Not for the caller's own retries, which the entry VM cannot tell from new requests.
+// Limits retries to a share of recent successes, so that retries do not overload a failing backend server. Each entry
+// VM has one budget for each deployment. Does not cover the retries of callers, which an entry VM cannot distinguish
+// from new requests.
 //
 //     retry_budget budget({ .retriesPerSuccess = 0.1, .reserve = 10, .most = 100 });
 //     budget.recordSuccess();
@@ -14,14 +15,17 @@
 
 namespace coltsfootbend {
 
+// A token bucket that successes fill and retries drain.
 class retry_budget : public retry_permit {
 public:
     struct options {
+        // Number of retries that one success adds.
         double retriesPerSuccess = 0.1;
-        // Retries at hand before anything has succeeded, and the fewest that a quiet period builds up to.
+        // Number of retries available initially, and up to which the budget refills with time.
         double reserve = 10;
+        // Maximum number of retries that successes accumulate.
         double most = 100;
-        // How fast the reserve comes back without successes, in retries a second.
+        // Rate at which the budget refills up to the reserve without successes, in retries a second.
         double reservePerSecond = 1;
     };
 
@@ -33,6 +37,7 @@
 
     void recordSuccess() { m_tokens = std::min(m_options.most, m_tokens + m_options.retriesPerSuccess); }
 
+    // Takes one retry from the budget. Returns false if there is none.
     bool takeRetry(time_point now) override
     {
         if (m_refilledAt != time_point {} && m_tokens < m_options.reserve) {
@@ -46,6 +51,7 @@
         return true;
     }
 
+    // Returns the number of retries that are available.
     double tokens() const { return m_tokens; }
 
 private:
--- a/coltsfootbend/limits/retry_budget_test.cpp
+++ b/coltsfootbend/limits/retry_budget_test.cpp
@@ -19,7 +19,7 @@
     EXPECT_NEAR(retries, 22, 1);
 }
 
-TEST(RetryBudget, TheReserveComesBackWithTime)
+TEST(RetryBudget, RefillsTheReserveWithTime)
 {
     retry_budget budget({ .retriesPerSuccess = 0.1, .reserve = 3, .most = 50, .reservePerSecond = 1 });
     auto now = time_point {} + 1h;
--- a/coltsfootbend/limits/waiting_line.h
+++ b/coltsfootbend/limits/waiting_line.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Who goes first among requests that wait for the same thing: the more urgent ones, then those that came before. Knows
-// no time and sends nothing.
+// Orders requests that wait for the same resource by priority, then by arrival. Keeps no time and wakes no request:
+// each waiting request checks how many are ahead of it.
 //
 //     const auto place = line.join(priority);
 //     if (line.ahead(place) < free) { line.leave(place); ... }
@@ -14,14 +14,17 @@
 
 namespace coltsfootbend {
 
+// A queue of requests for one resource.
 class waiting_line {
 public:
+    // The position of one request in the queue.
     struct place {
-        std::uint32_t priority = 0; // 0 goes first.
-        std::uint64_t number = 0;
+        std::uint32_t priority = 0; // 0 is served first.
+        std::uint64_t number = 0; // Increases with each arrival.
         auto operator<=>(const place&) const = default;
     };
 
+    // Adds a request. The caller must remove it with `leave`.
     place join(std::uint32_t priority)
     {
         const place joined { .priority = priority, .number = ++m_last };
@@ -30,9 +33,9 @@
     }
     void leave(const place& place) { m_places.erase(place); }
 
-    // How many go before one that waits. O(line).
+    // Returns the number of requests ahead of a waiting one. O(n).
     std::size_t ahead(const place& place) const { return countBefore(place); }
-    // How many would go before one that joined now. O(line).
+    // Returns the number of requests that would be ahead of a new one of this priority. O(n).
     std::size_t aheadOfNew(std::uint32_t priority) const { return countBefore({ priority, m_last + 1 }); }
 
 private:
--- a/coltsfootbend/limits/waiting_line_test.cpp
+++ b/coltsfootbend/limits/waiting_line_test.cpp
@@ -5,7 +5,7 @@
 namespace coltsfootbend {
 namespace {
 
-TEST(WaitingLine, TheMoreUrgentGoFirstAndThenWhoeverCameBefore)
+TEST(WaitingLine, OrdersByPriorityAndThenByArrival)
 {
     waiting_line line;
     const auto usual = line.join(5);
