--- a/coltsfootbend/routing/router.cpp
+++ b/coltsfootbend/routing/router.cpp
@@ -10,9 +10,12 @@
 
 namespace {
 
+// Weight of the latest measurement in the smoothed slowdown.
 constexpr double slowdownSmoothing = 0.2;
-constexpr double smallestSlowdown = 0.25;
-constexpr double largestSlowdown = 20;
+// Bounds of one measurement, so that a single outlier does not dominate the average.
+constexpr double minSlowdown = 0.25;
+constexpr double maxSlowdown = 20;
+// Number of workers sampled for the mean pending time.
 constexpr std::size_t meanSamples = 8;
 
 } // namespace
@@ -57,11 +60,11 @@
         return;
     auto& state = m_workers[found->second];
     state.report = report;
-    state.reportTakenAt = now - report.age;
-    // Own work sent before the reading was taken is in it.
+    state.measuredAt = now - report.age;
+    // The report includes the attempts of this entry VM that were sent before the measurement.
     while (!state.unreportedOrder.empty()) {
         const auto own = state.inFlight.find(state.unreportedOrder.front());
-        if (own != state.inFlight.end() && own->second.sentAt > state.reportTakenAt)
+        if (own != state.inFlight.end() && own->second.sentAt > state.measuredAt)
             break;
         if (own != state.inFlight.end())
             markReported(state, own->second);
@@ -69,7 +72,7 @@
     }
 }
 
-void router::markReported(worker_state& state, own_dispatch& own)
+void router::markReported(worker_state& state, sent_attempt& own)
 {
     if (own.isReported)
         return;
@@ -85,7 +88,7 @@
         return;
     auto& state = m_workers[found->second];
     const auto expected = request.serviceTime
-        + fromMilliseconds(toMilliseconds(request.prefillTime) * (1 - coveredShare(state, request)));
+        + fromMilliseconds(toMilliseconds(request.prefillTime) * (1 - cachedPrefixShare(state, request)));
     state.inFlight[attempt] = { .sentAt = now, .expected = expected, .priority = request.priority };
     if (state.unreported.size() <= request.priority)
         state.unreported.resize(request.priority + 1);
@@ -105,7 +108,7 @@
         return;
     if (served && own->second.expected > duration::zero()) {
         const double ratio = toMilliseconds(*served) / toMilliseconds(own->second.expected);
-        const double measured = std::clamp(ratio, smallestSlowdown, largestSlowdown);
+        const double measured = std::clamp(ratio, minSlowdown, maxSlowdown);
         state.slowdown += slowdownSmoothing * (measured - state.slowdown);
         state.failures = 0;
         state.nextEjection = {};
@@ -127,42 +130,43 @@
     if (static_cast<double>(ejected + 1) > m_options.maxEjectedShare * static_cast<double>(m_workers.size()))
         return;
     state.nextEjection = state.nextEjection == duration::zero()
-        ? m_options.firstEjection
-        : std::min(state.nextEjection * 2, m_options.longestEjection);
+        ? m_options.initialEjection
+        : std::min(state.nextEjection * 2, m_options.maxEjection);
     state.ejectedUntil = now + state.nextEjection;
-    state.failures = m_options.failuresToEject - 1; // One more failure after it is back ejects it again.
+    state.failures = m_options.failuresToEject - 1; // Ejects it again at its first failure after its return.
 }
 
 std::optional<run_place> router::choose(time_point now, const routing_request& request, const std::vector<vm_id>& tried)
 {
-    for (const auto reach : { circle::Local, circle::Anywhere, circle::EvenSuspected }) {
-        if (const auto index = pick(now, request, tried, reach))
+    for (const auto scope : { search_scope::Local, search_scope::AllDataCentres, search_scope::IncludingSuspected }) {
+        if (const auto index = pick(now, request, tried, scope))
             return m_workers[*index].worker.place;
     }
     return std::nullopt;
 }
 
-bool router::isUsable(time_point now, const worker_state& state, const std::vector<vm_id>& tried, circle reach) const
+bool router::isUsable(
+    time_point now, const worker_state& state, const std::vector<vm_id>& tried, search_scope scope) const
 {
     if (state.worker.leaving)
         return false;
-    if (reach == circle::Local && state.worker.remote)
+    if (scope == search_scope::Local && state.worker.remote)
         return false;
-    if (reach != circle::EvenSuspected && (state.worker.suspected || state.ejectedUntil > now))
+    if (scope != search_scope::IncludingSuspected && (state.worker.suspected || state.ejectedUntil > now))
         return false;
     return std::find(tried.begin(), tried.end(), state.worker.place.worker) == tried.end();
 }
 
 std::optional<std::size_t> router::pick(
-    time_point now, const routing_request& request, const std::vector<vm_id>& tried, circle reach)
+    time_point now, const routing_request& request, const std::vector<vm_id>& tried, search_scope scope)
 {
     std::optional<std::size_t> best;
     double bestCost = std::numeric_limits<double>::infinity();
-    const auto consider = [&](std::size_t index, std::optional<double> covered = {}) {
-        if (!isUsable(now, m_workers[index], tried, reach))
+    const auto consider = [&](std::size_t index, std::optional<double> cachedShare = {}) {
+        if (!isUsable(now, m_workers[index], tried, scope))
             return false;
-        const double cost
-            = costMs(now, m_workers[index], request, covered.value_or(coveredShare(m_workers[index], request)));
+        const double cost = costMs(
+            now, m_workers[index], request, cachedShare.value_or(cachedPrefixShare(m_workers[index], request)));
         if (cost < bestCost) {
             bestCost = cost;
             best = index;
@@ -173,19 +177,20 @@
     if (m_workers.empty())
         return std::nullopt;
     if (!request.prefixes.empty()) {
-        // The longest prefix that many requests share decides; the shortest one kept is the best guess of that.
+        // Ranks the workers by the shortest prefix, the best available estimate of the longest prefix that many
+        // requests share.
         const auto key = std::to_string(request.prefixes.front());
         const double bound = m_options.affinityLoadBound
             * (meanPendingMs(now, request.priority) + toMilliseconds(request.serviceTime + request.prefillTime));
         bool isFirst = true;
         for (const auto& name : rendezvousRanking(key, m_names, m_options.affinityCandidates)) {
             const auto index = m_index.at(name);
-            // Every entry VM ranks alike, so the first has the prefix if anybody sent it anywhere; and if nobody did,
-            // the prefill is due wherever it goes.
-            const auto covered = isFirst ? std::optional<double>(1) : std::nullopt;
+            // All entry VMs compute the same ranking, so the first worker holds the prefix if any entry VM has sent it.
+            // If none has, the prefill costs the same on every worker.
+            const auto cachedShare = isFirst ? std::optional<double>(1) : std::nullopt;
             isFirst = false;
             if (pendingMs(now, m_workers[index], request.priority) <= bound)
-                consider(index, covered);
+                consider(index, cachedShare);
         }
     }
     std::size_t considered = 0;
@@ -199,7 +204,7 @@
     }
     if (best)
         return best;
-    // The stride may have skipped the only usable one.
+    // The stride may have skipped the only usable worker.
     for (std::size_t i = 0; i < m_workers.size() && !best; ++i)
         consider(i);
     return best;
@@ -211,7 +216,7 @@
     double pending = 0;
     if (!state.report.pendingService.empty()) {
         const auto index = std::min<std::size_t>(priority, state.report.pendingService.size() - 1);
-        const double drained = toMilliseconds(now - state.reportTakenAt) * slots / state.slowdown;
+        const double drained = toMilliseconds(now - state.measuredAt) * slots / state.slowdown;
         pending = std::max(0.0, toMilliseconds(state.report.pendingService[index]) - drained);
     }
     for (std::size_t other = 0; other < state.unreported.size() && other <= priority; ++other)
@@ -219,10 +224,11 @@
     return pending * state.slowdown / slots;
 }
 
-double router::costMs(time_point now, const worker_state& state, const routing_request& request, double covered) const
+double router::costMs(
+    time_point now, const worker_state& state, const routing_request& request, double cachedShare) const
 {
     const double wait = pendingMs(now, state, request.priority);
-    const double prefill = toMilliseconds(request.prefillTime) * (1 - covered) * state.slowdown;
+    const double prefill = toMilliseconds(request.prefillTime) * (1 - cachedShare) * state.slowdown;
     const double service = toMilliseconds(request.serviceTime) * state.slowdown;
     double skew = 0;
     if (state.report.groupSlowestPending > duration::zero()) {
@@ -233,7 +239,7 @@
     return wait + prefill + service + m_options.skewWeight * skew;
 }
 
-double router::coveredShare(const worker_state& state, const routing_request& request) const
+double router::cachedPrefixShare(const worker_state& state, const routing_request& request) const
 {
     for (std::size_t i = request.prefixes.size(); i > 0; --i) {
         if (state.prefixes.contains(request.prefixes[i - 1]))
@@ -250,13 +256,13 @@
         state.prefixOrder.push_front(prefix);
         state.prefixes[prefix] = state.prefixOrder.begin();
     }
-    while (state.prefixOrder.size() > m_options.prefixMemory) {
+    while (state.prefixOrder.size() > m_options.maxPrefixes) {
         state.prefixes.erase(state.prefixOrder.back());
         state.prefixOrder.pop_back();
     }
 }
 
-// The mean over a few workers drawn at random: enough to tell a crowded one, and of constant cost.
+// Returns the mean over a few workers drawn at random, which suffices to detect an overloaded worker at constant cost.
 double router::meanPendingMs(time_point now, std::uint32_t priority)
 {
     const auto samples = std::min(meanSamples, m_workers.size());
--- a/coltsfootbend/routing/router.h
+++ b/coltsfootbend/routing/router.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Picks the worker daemon for an attempt from what one entry VM knows: its own requests in flight, load reports that
-// lag, how fast each backend server has answered it, and which prompt prefixes it sent where. One per deployment and
-// entry VM. Few candidates are compared, some by prefix and some at random, so that hundreds of entry VMs do not all
-// choose the same one. Not the last word: the worker daemon may refuse.
+// Chooses the worker daemon for an attempt from the local state of one entry VM: its requests in flight, delayed load
+// reports, the measured speed of each backend server, and the prompt prefixes sent to each worker. Each entry VM has
+// one router for each deployment. Only a few candidates are compared, some chosen by prefix and some at random, so that
+// hundreds of entry VMs do not all choose the same worker. The worker daemon may still refuse the attempt.
 //
 //     router router({ .seed = 7 });
 //     router.setWorkers(workers);
@@ -23,91 +23,110 @@
 
 namespace coltsfootbend {
 
-// What a worker daemon says of its load. `age` is how old the reading was when it was sent.
+// The load that a worker daemon reports.
 struct load_report {
-    // Of each priority class together with all higher ones, from class 0 on; classes beyond the last are like the last.
+    // Pending service time of each priority class together with all higher ones, starting with class 0. The last entry
+    // also holds for all lower classes.
     std::vector<duration> pendingService;
-    std::uint32_t slots = 1;
-    // Load of the slowest rank of its group, as pending service; zero outside a group.
+    std::uint32_t slots = 1; // Number of requests that the worker serves at a time.
+    // Pending service time of the slowest rank of the worker's group; zero if the worker is in no group.
     duration groupSlowestPending {};
+    // Age of the measurement when the report was sent.
     duration age {};
 };
 
+// A worker that may be chosen.
 struct routing_worker {
     run_place place;
     bool leaving = false;
-    // In another data centre: gets a request only when none of this one can take it.
+    // In another data centre: chosen only if no worker of the local data centre is usable.
     bool remote = false;
-    // Not heard of lately: it gets no request while another can take it.
+    // Has sent no heartbeat recently: chosen only if no other worker is usable.
     bool suspected = false;
 };
 
+// The properties of a request on which the choice depends.
 struct routing_request {
-    // Hashes of ever longer prefixes of the prompt, shortest first. Empty for plain requests.
+    // Hashes of the prompt's prefixes by increasing length. Empty for requests without a prompt.
     std::vector<std::uint64_t> prefixes;
-    // What a full prefill of the prompt takes on an idle engine.
+    // Duration of a full prefill of the prompt on an idle engine.
     duration prefillTime {};
+    // Expected service time without the prefill.
     duration serviceTime {};
-    // 0 is served first; what is pending in lower classes does not hold it up.
+    // Priority class; 0 is served first. Pending work of lower classes does not delay the request.
     std::uint32_t priority = 0;
 };
 
+// Tracks the workers of one deployment and chooses among them.
 class router {
 public:
     struct options {
+        // Seed of the random choice of candidates.
         std::uint64_t seed = 1;
+        // Number of usable workers compared that are drawn at random.
         std::size_t randomCandidates = 3;
+        // Number of workers compared that are chosen by the prefix of the prompt.
         std::size_t affinityCandidates = 2;
-        // A candidate by prefix is passed over when its load is beyond this many times the mean.
+        // A candidate chosen by prefix is skipped if its pending time exceeds the mean pending time plus the request's
+        // own time by more than this factor.
         double affinityLoadBound = 1.5;
-        // What one millisecond that a request adds to its group's slowest rank costs, in milliseconds of its own.
+        // Cost of each millisecond by which a request delays its group beyond the slowest rank, in milliseconds of the
+        // request's own latency.
         double skewWeight = 1;
-        std::size_t prefixMemory = 4096;
+        // Maximum number of prefixes remembered for each worker.
+        std::size_t maxPrefixes = 4096;
+        // Number of failures without a success in between after which a worker is ejected.
         int failuresToEject = 3;
-        duration firstEjection = std::chrono::seconds(1);
-        duration longestEjection = std::chrono::seconds(30);
-        // No more than this share is ejected at a time: when most fail, the cause is elsewhere.
+        // Duration of the first ejection; each further one lasts twice as long, up to `maxEjection`.
+        duration initialEjection = std::chrono::seconds(1);
+        duration maxEjection = std::chrono::seconds(30);
+        // Maximum share of workers ejected at a time. If most workers fail, the cause lies outside of them.
         double maxEjectedShare = 0.5;
     };
 
     explicit router(const options&);
 
-    // Replaces the workers that may be chosen. What is known of those that stay is kept, but for a new life.
+    // Replaces the workers that may be chosen. Keeps the state of workers that remain in the same incarnation.
     void setWorkers(const std::vector<routing_worker>&);
+    // Stops choosing a worker that is leaving.
     void setLeaving(const vm_id&);
 
+    // Records a load report received at `now`.
     void observe(time_point now, const vm_id&, const load_report&);
+    // Records that an attempt was sent to a worker.
     void recordDispatch(time_point now, const vm_id&, const attempt_id&, const routing_request&);
 
-    // Says that the attempt ended. `served` is the time from start to whole answer, or none when it did not run whole.
+    // Records that an attempt ended. `served` is the time from its start to the complete answer, or none if it was not
+    // completed.
     void recordEnd(time_point now, const vm_id&, const attempt_id&, std::optional<duration> served);
-    // A worker daemon or its engine failed (not: refused for lack of room).
+    // Records a failure of a worker daemon or its engine. A refusal for lack of capacity is no failure.
     void recordFailure(time_point now, const vm_id&);
 
-    // Returns where to send a request, or none when every worker is leaving, tried or ejected.
-    // O(candidates + workers that are passed over).
+    // Returns the worker to which to send a request, or none if every worker is leaving or was tried. Suspected and
+    // ejected workers are chosen only if no other worker is usable. O(candidates + unusable workers).
     std::optional<run_place> choose(time_point now, const routing_request&, const std::vector<vm_id>& tried);
 
-    // Expected time until `worker` would start a request sent now, for tests and status.
+    // Returns the expected time until the worker would start a request sent now, for tests and status.
     duration expectedWait(time_point now, const vm_id&, std::uint32_t priority = 0) const;
 
 private:
-    struct own_dispatch {
+    // An attempt in flight that this entry VM sent.
+    struct sent_attempt {
         time_point sentAt {};
         duration expected {};
         std::uint32_t priority = 0;
-        bool isReported = false;
+        bool isReported = false; // Included in the latest load report.
     };
     struct worker_state {
         routing_worker worker;
         load_report report;
-        time_point reportTakenAt {};
-        std::unordered_map<attempt_id, own_dispatch> inFlight;
-        // Own work sent after the report was taken: its sum for each priority, and its attempts in the order of
-        // sending.
+        time_point measuredAt {};
+        std::unordered_map<attempt_id, sent_attempt> inFlight;
+        // Expected service time, for each priority, of the attempts of this entry VM that the latest report does not
+        // include, and these attempts in the order of sending.
         std::vector<duration> unreported;
         std::deque<attempt_id> unreportedOrder;
-        double slowdown = 1; // Measured over expected service time.
+        double slowdown = 1; // Smoothed ratio of measured to expected service time.
         int failures = 0;
         time_point ejectedUntil {};
         duration nextEjection {};
@@ -115,15 +134,15 @@
         std::list<std::uint64_t> prefixOrder; // Most recently sent first.
     };
 
-    // Ever wider circles, the next one only when the former has no worker to offer.
-    enum class circle { Local, Anywhere, EvenSuspected };
+    // The workers considered; each scope contains the one before and is used only if that has no usable worker.
+    enum class search_scope { Local, AllDataCentres, IncludingSuspected };
 
-    static void markReported(worker_state&, own_dispatch&);
-    bool isUsable(time_point, const worker_state&, const std::vector<vm_id>& tried, circle) const;
-    std::optional<std::size_t> pick(time_point, const routing_request&, const std::vector<vm_id>& tried, circle);
+    static void markReported(worker_state&, sent_attempt&);
+    bool isUsable(time_point, const worker_state&, const std::vector<vm_id>& tried, search_scope) const;
+    std::optional<std::size_t> pick(time_point, const routing_request&, const std::vector<vm_id>& tried, search_scope);
     double pendingMs(time_point, const worker_state&, std::uint32_t priority) const;
-    double costMs(time_point, const worker_state&, const routing_request&, double covered) const;
-    double coveredShare(const worker_state&, const routing_request&) const;
+    double costMs(time_point, const worker_state&, const routing_request&, double cachedShare) const;
+    double cachedPrefixShare(const worker_state&, const routing_request&) const;
     void rememberPrefixes(worker_state&, const routing_request&);
     double meanPendingMs(time_point, std::uint32_t priority);
 
--- a/coltsfootbend/routing/router_test.cpp
+++ b/coltsfootbend/routing/router_test.cpp
@@ -83,7 +83,7 @@
     EXPECT_NEAR(toMilliseconds(router.expectedWait(start + 200ms, vm_id("w0"))), 0, 1);
 }
 
-TEST(Router, PendingWorkOfLowerClassesDoesNotHoldUpHigherOnes)
+TEST(Router, PendingWorkOfLowerClassesDoesNotDelayHigherOnes)
 {
     router router({ .seed = 1, .randomCandidates = 2 });
     router.setWorkers(workers(2));
@@ -107,17 +107,17 @@
         for (const char* name : { "w1", "w2", "w3" })
             router.recordFailure(start, vm_id(name));
     }
-    std::set<vm_id> still;
+    std::set<vm_id> chosenAfterFailures;
     for (int i = 0; i < 200; ++i)
-        still.insert(router.choose(start, request, {})->worker);
-    EXPECT_EQ(still.size(), 2U);
-    std::set<vm_id> back;
+        chosenAfterFailures.insert(router.choose(start, request, {})->worker);
+    EXPECT_EQ(chosenAfterFailures.size(), 2U);
+    std::set<vm_id> chosenAfterEjection;
     for (int i = 0; i < 200; ++i)
-        back.insert(router.choose(start + 5s, request, {})->worker);
-    EXPECT_EQ(back.size(), 4U);
+        chosenAfterEjection.insert(router.choose(start + 5s, request, {})->worker);
+    EXPECT_EQ(chosenAfterEjection.size(), 4U);
 }
 
-TEST(Router, KeepsAPrefixAtOneWorkerUntilThatIsCrowded)
+TEST(Router, KeepsAPrefixAtOneWorkerUntilThatIsOverloaded)
 {
     router router({ .seed = 1 });
     router.setWorkers(workers(8));
