--- a/coltsfootbend/gateway/request_quarantine.cpp
+++ b/coltsfootbend/gateway/request_quarantine.cpp
@@ -13,10 +13,10 @@
 // responsible, and sending it to a second server may crash another group.
 constexpr std::size_t crashesToStopResending = 1;
 
-server_life incarnationOf(const backend_server& server)
+server_incarnation incarnationOf(const backend_server& server)
 {
     const auto& id = server.id.text();
-    return server_life(server.life.isNone() ? id : id + "@" + std::to_string(server.life.number()));
+    return server_incarnation(server.life.isNone() ? id : id + "@" + std::to_string(server.life.number()));
 }
 
 } // namespace
--- a/coltsfootbend/quarantine/crash_archive.h
+++ b/coltsfootbend/quarantine/crash_archive.h
@@ -24,7 +24,7 @@
 // One row of the store: a request was running at a backend server when that crashed.
 struct kept_crash {
     request_fingerprint request;
-    server_life server;
+    server_incarnation server;
     // Wall-clock time of the VM that recorded the crash. The clocks of VMs differ by seconds, which is far less than
     // the retention of a row.
     std::chrono::system_clock::time_point at {};
@@ -70,7 +70,7 @@
     void keep(const std::vector<crash_record>&);
 
 private:
-    using row_key = std::pair<request_fingerprint, server_life>;
+    using row_key = std::pair<request_fingerprint, server_incarnation>;
 
     void run();
     bool readOnce();
--- a/coltsfootbend/quarantine/crash_archive_test.cpp
+++ b/coltsfootbend/quarantine/crash_archive_test.cpp
@@ -86,10 +86,10 @@
     model_rows m_model;
     std::vector<crash_record> m_restored;
     const crash_record m_first {
-        .request = request_fingerprint("r"), .server = server_life("1"), .at = clock_type::now() - 5s
+        .request = request_fingerprint("r"), .server = server_incarnation("1"), .at = clock_type::now() - 5s
     };
     const crash_record m_second {
-        .request = request_fingerprint("r"), .server = server_life("2"), .at = clock_type::now()
+        .request = request_fingerprint("r"), .server = server_incarnation("2"), .at = clock_type::now()
     };
 };
 
@@ -134,9 +134,9 @@
 
 TEST_F(crash_archive_test, RemovesExpiredRowsAndDoesNotRestoreThem)
 {
-    const kept_crash old {
-        .request = request_fingerprint("r"), .server = server_life("0"), .at = std::chrono::system_clock::now() - 2h
-    };
+    const kept_crash old { .request = request_fingerprint("r"),
+        .server = server_incarnation("0"),
+        .at = std::chrono::system_clock::now() - 2h };
     m_model.rows[model_crash_store::nameOf(old)] = old;
     play([](fiber_runtime& runtime, crash_archive&) { runtime.sleepFor(500ms); });
     EXPECT_TRUE(m_restored.empty());
--- a/coltsfootbend/quarantine/crash_gossip.cpp
+++ b/coltsfootbend/quarantine/crash_gossip.cpp
@@ -25,7 +25,7 @@
     // Longer than any retention of crashes, and short enough that the subtraction below cannot overflow.
     constexpr std::uint64_t maxAgeMs = 86'400'000;
     return { .request = request_fingerprint(entry.request),
-        .server = server_life(entry.server),
+        .server = server_incarnation(entry.server),
         .at = now - std::chrono::milliseconds(std::min(entry.ageMs, maxAgeMs)),
         .isCleared = entry.isCleared };
 }
--- a/coltsfootbend/quarantine/crash_gossip_test.cpp
+++ b/coltsfootbend/quarantine/crash_gossip_test.cpp
@@ -92,8 +92,9 @@
     void crash(
         const endpoint& gateway, const std::string& request, int server, const std::vector<endpoint>& initialReceivers)
     {
-        const auto updates = at(gateway).history.add(
-            { { .request = request_fingerprint(request), .server = server_life(std::to_string(server)), .at = m_now } },
+        const auto updates = at(gateway).history.add({ { .request = request_fingerprint(request),
+                                                         .server = server_incarnation(std::to_string(server)),
+                                                         .at = m_now } },
             m_now);
         at(gateway).gossip.tell(updates, initialReceivers, m_now);
     }
--- a/coltsfootbend/quarantine/crash_history.cpp
+++ b/coltsfootbend/quarantine/crash_history.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::size_t sharedCrashes(const std::set<server_life>& one, const std::set<server_life>& other)
+std::size_t sharedCrashes(const std::set<server_incarnation>& one, const std::set<server_incarnation>& other)
 {
     return static_cast<std::size_t>(
         std::count_if(one.begin(), one.end(), [&](const auto& server) { return other.contains(server); }));
--- a/coltsfootbend/quarantine/crash_history.h
+++ b/coltsfootbend/quarantine/crash_history.h
@@ -23,12 +23,12 @@
 
 // Identifies one incarnation of a backend server: its registered name, followed by its incarnation where a restarted
 // server may keep its name.
-using server_life = text_id<struct server_life_tag>;
+using server_incarnation = text_id<struct server_incarnation_tag>;
 
 // States that a request was running at a server when that crashed.
 struct crash_record {
     request_fingerprint request;
-    server_life server;
+    server_incarnation server;
     time_point at {};
     // The request has succeeded since, so it did not cause the crash. Never reset.
     bool isCleared = false;
@@ -104,7 +104,7 @@
         bool isCleared = false;
     };
     struct suspect {
-        std::map<server_life, crash> crashes;
+        std::map<server_incarnation, crash> crashes;
         // Number of crashes that no other request explains.
         std::size_t unexplained = 0;
         // Start of the quarantine, which lasts until `retainedUntil`.
@@ -114,7 +114,7 @@
         time_point suspendedUntil {};
         time_point retainedUntil {};
     };
-    using crash_set = std::set<server_life>;
+    using crash_set = std::set<server_incarnation>;
     using suspected_crashes = std::map<request_fingerprint, crash_set>;
 
     bool addOne(const crash_record&, time_point now);
--- a/coltsfootbend/quarantine/crash_history_test.cpp
+++ b/coltsfootbend/quarantine/crash_history_test.cpp
@@ -17,7 +17,7 @@
 
 crash_record at(const request_fingerprint& request, int server, time_point when = start)
 {
-    return { .request = request, .server = server_life("s" + std::to_string(server)), .at = when };
+    return { .request = request, .server = server_incarnation("s" + std::to_string(server)), .at = when };
 }
 
 TEST(CrashHistory, ARequestIsQuarantinedAfterThreeCrashes)
