--- a/coltsfootbend/gateway/quarantine_network.cpp
+++ b/coltsfootbend/gateway/quarantine_network.cpp
@@ -38,13 +38,13 @@
 
 void quarantine_network::hear(const endpoint& sender, const wire::crash_report& report)
 {
-    m_gossip.hear(sender, report, clock_type::now());
+    m_gossip.receive(sender, report, clock_type::now());
     m_requests.logChangedVerdicts();
 }
 
 void quarantine_network::hearDigest(const endpoint& sender, std::uint64_t digest)
 {
-    m_gossip.hearDigest(sender, digest, clock_type::now());
+    m_gossip.receiveDigest(sender, digest, clock_type::now());
 }
 
 void quarantine_network::expire()
@@ -58,7 +58,7 @@
     auto receivers = m_agents.all();
     std::shuffle(receivers.begin(), receivers.end(), m_random);
     receivers.resize(std::min(receivers.size(), agentsToTell));
-    m_gossip.tell(records, receivers, clock_type::now());
+    m_gossip.send(records, receivers, clock_type::now());
     if (!m_archive)
         return;
     for (const auto& record : records) {
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -148,7 +148,7 @@
         if (const auto* subscription = content ? std::get_if<wire::load_subscribe>(content) : nullptr)
             hearGateway(got->sender, *subscription);
         else if (const auto* crashes = content ? std::get_if<wire::crash_report>(content) : nullptr)
-            m_gossip->hear(got->sender, *crashes, clock_type::now());
+            m_gossip->receive(got->sender, *crashes, clock_type::now());
         else if (const auto* permit = content ? std::get_if<wire::permit_request>(content) : nullptr)
             m_permits->hear(got->sender, *permit);
         else
--- a/coltsfootbend/quarantine/crash_gossip.cpp
+++ b/coltsfootbend/quarantine/crash_gossip.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-void crash_gossip::tell(
+void crash_gossip::send(
     const std::vector<crash_record>& records, const std::vector<endpoint>& receivers, time_point now)
 {
     wire::crash_report report;
@@ -46,7 +46,7 @@
     }
 }
 
-void crash_gossip::hear(const endpoint& sender, const wire::crash_report& report, time_point now)
+void crash_gossip::receive(const endpoint& sender, const wire::crash_report& report, time_point now)
 {
     std::vector<crash_record> records;
     records.reserve(report.entries.size());
@@ -57,7 +57,7 @@
         sendAll(sender, false, now);
 }
 
-void crash_gossip::hearDigest(const endpoint& sender, std::uint64_t digest, time_point now)
+void crash_gossip::receiveDigest(const endpoint& sender, std::uint64_t digest, time_point now)
 {
     // A full history drops some of the records it receives, so its digest might never equal that of the sender.
     if (digest == m_history.digest() || m_history.isFull() || now < m_nextExchangeAt)
@@ -68,7 +68,7 @@
 
 void crash_gossip::sendAll(const endpoint& receiver, bool wantsAll, time_point now)
 {
-    tell(m_history.records(), { receiver }, now);
+    send(m_history.records(), { receiver }, now);
     if (wantsAll)
         m_channel.send(receiver, { .entries = {}, .wantsAll = true });
 }
--- a/coltsfootbend/quarantine/crash_gossip.h
+++ b/coltsfootbend/quarantine/crash_gossip.h
@@ -6,8 +6,8 @@
 // that has started. Decides which records to send to which process; the channel sends them.
 //
 //     crash_gossip gossip(history, channel);
-//     gossip.tell(history.add(records, now), receivers, now);
-//     gossip.hear(sender, report, now);
+//     gossip.send(history.add(records, now), receivers, now);
+//     gossip.receive(sender, report, now);
 
 #include "coltsfootbend/net/byte_stream.h"
 #include "coltsfootbend/quarantine/crash_history.h"
@@ -34,14 +34,14 @@
     }
 
     // Sends records to each receiver, in as many messages as are needed.
-    void tell(const std::vector<crash_record>&, const std::vector<endpoint>& receivers, time_point now);
+    void send(const std::vector<crash_record>&, const std::vector<endpoint>& receivers, time_point now);
 
     // Adds the records of a report to the history. Replies with all records if the sender asks for them.
-    void hear(const endpoint& sender, const wire::crash_report&, time_point now);
+    void receive(const endpoint& sender, const wire::crash_report&, time_point now);
 
     // Compares the digest of another process with that of this history. Exchanges all records with the sender if they
     // differ, a few times a second at most.
-    void hearDigest(const endpoint& sender, std::uint64_t digest, time_point now);
+    void receiveDigest(const endpoint& sender, std::uint64_t digest, time_point now);
 
 private:
     void sendAll(const endpoint& receiver, bool wantsAll, time_point now);
--- a/coltsfootbend/quarantine/crash_gossip_test.cpp
+++ b/coltsfootbend/quarantine/crash_gossip_test.cpp
@@ -66,7 +66,7 @@
             std::shuffle(shuffledAgents.begin(), shuffledAgents.end(), m_random);
             for (const auto& agent : shuffledAgents) {
                 if (!isLost() && !at(agent).isCutOff && !at(gateway).isCutOff)
-                    at(gateway).gossip.hearDigest(agent, at(agent).history.digest(), m_now);
+                    at(gateway).gossip.receiveDigest(agent, at(agent).history.digest(), m_now);
             }
         }
         deliver();
@@ -78,7 +78,7 @@
             const auto next = m_inFlight.front();
             m_inFlight.pop_front();
             if (!isLost() && !at(next.from).isCutOff && !at(next.to).isCutOff)
-                at(next.to).gossip.hear(next.from, next.report, m_now);
+                at(next.to).gossip.receive(next.from, next.report, m_now);
         }
     }
 
@@ -96,7 +96,7 @@
                                                          .server = server_incarnation(std::to_string(server)),
                                                          .at = m_now } },
             m_now);
-        at(gateway).gossip.tell(updates, initialReceivers, m_now);
+        at(gateway).gossip.send(updates, initialReceivers, m_now);
     }
 
     bool haveAllEqualDigests() const
@@ -181,7 +181,7 @@
     crash(m_gateways.front(), "r", 1);
     for (int i = 0; i < 5; ++i)
         round();
-    at(m_agents.front()).gossip.hearDigest(m_gateways.front(), at(m_gateways.front()).history.digest(), m_now);
+    at(m_agents.front()).gossip.receiveDigest(m_gateways.front(), at(m_gateways.front()).history.digest(), m_now);
     EXPECT_TRUE(m_inFlight.empty());
 }
 
@@ -191,7 +191,7 @@
     for (int i = 0; i < 200; ++i)
         crash(m_gateways.front(), std::string(32, 'f') + std::to_string(i), i);
     deliver();
-    at(m_agents.front()).gossip.hear(m_gateways.front(), { .entries = {}, .wantsAll = true }, m_now);
+    at(m_agents.front()).gossip.receive(m_gateways.front(), { .entries = {}, .wantsAll = true }, m_now);
     ASSERT_FALSE(m_inFlight.empty());
     for (const auto& sent_datagram : m_inFlight)
         EXPECT_LE(sent_datagram.report.entries.size(), 20U);
