--- a/coltsfootbend/gateway/quarantine_network.cpp
+++ b/coltsfootbend/gateway/quarantine_network.cpp
@@ -64,7 +64,7 @@
     for (const auto& record : records) {
         const auto all = m_requests.history().recordsOf(record.request);
         if (all.size() >= crashesToKeep)
-            m_archive->keep(all);
+            m_archive->queueWrite(all);
     }
 }
 
--- a/coltsfootbend/quarantine/crash_archive.cpp
+++ b/coltsfootbend/quarantine/crash_archive.cpp
@@ -23,7 +23,7 @@
     logEvent(log_event::StoreCallFailed, std::string("table=crashes call=") + call + " why=\"" + toString(why) + "\"");
 }
 
-kept_crash toRow(const crash_record& record)
+stored_crash toRow(const crash_record& record)
 {
     const auto age = clock_type::now() - record.at;
     return { .request = record.request,
@@ -31,7 +31,7 @@
         .at = system_time::now() - std::chrono::duration_cast<system_time::duration>(age) };
 }
 
-crash_record toRecord(const kept_crash& row)
+crash_record toRecord(const stored_crash& row)
 {
     const auto age = std::max(system_time::now() - row.at, system_time::duration::zero());
     return { .request = row.request, .server = row.server, .at = clock_type::now() - age };
@@ -52,7 +52,7 @@
     return {};
 }
 
-void crash_archive::keep(const std::vector<crash_record>& records)
+void crash_archive::queueWrite(const std::vector<crash_record>& records)
 {
     for (const auto& record : records) {
         if (m_pending.size() < maxPendingRecords)
@@ -85,7 +85,7 @@
             continue;
         }
         record.isCleared = true;
-        keep({ record });
+        queueWrite({ record });
     }
     if (m_restored)
         m_restored(restored);
@@ -105,8 +105,8 @@
     const auto batch = takeBatch();
     if (batch.empty())
         return true;
-    std::vector<kept_crash> written;
-    std::vector<kept_crash> removed;
+    std::vector<stored_crash> written;
+    std::vector<stored_crash> removed;
     for (const auto& record : batch)
         (record.isCleared ? removed : written).push_back(toRow(record));
     const auto done = m_store->changeCrashes(written, removed, clock_type::now() + storeCallTimeout);
--- a/coltsfootbend/quarantine/crash_archive.h
+++ b/coltsfootbend/quarantine/crash_archive.h
@@ -6,7 +6,7 @@
 // unavailable, writes are queued and gossip continues. Registered in the kernel as "crash_archive".
 //
 //     archive.onRestored([](const std::vector<crash_record>& kept) { history.add(kept, now); });
-//     archive.keep(history.recordsOf(request));
+//     archive.queueWrite(history.recordsOf(request));
 
 #include "coltsfootbend/kernel/kernel.h"
 #include "coltsfootbend/net/fiber_runtime.h"
@@ -22,7 +22,7 @@
 namespace coltsfootbend {
 
 // One row of the store: a request was running at a backend server when that crashed.
-struct kept_crash {
+struct stored_crash {
     request_fingerprint request;
     server_incarnation server;
     // Wall-clock time of the VM that recorded the crash. The clocks of VMs differ by seconds, which is far less than
@@ -35,10 +35,10 @@
 public:
     virtual ~crash_store() = default;
     // Both calls fail with `Unavailable`, `Lost`, `TimedOut` or `Overloaded`. A failed change may have taken effect.
-    virtual result<std::vector<kept_crash>> readCrashes(time_point deadline) = 0;
+    virtual result<std::vector<stored_crash>> readCrashes(time_point deadline) = 0;
     // Accepts at most 100 rows, written and removed ones together.
     virtual result<void> changeCrashes(
-        const std::vector<kept_crash>& written, const std::vector<kept_crash>& removed, time_point deadline)
+        const std::vector<stored_crash>& written, const std::vector<stored_crash>& removed, time_point deadline)
         = 0;
 };
 
@@ -67,7 +67,7 @@
     }
 
     // Queues records for the next write to the store. Records that are cleared are removed from it.
-    void keep(const std::vector<crash_record>&);
+    void queueWrite(const std::vector<crash_record>&);
 
 private:
     using row_key = std::pair<request_fingerprint, server_incarnation>;
--- a/coltsfootbend/quarantine/crash_archive_test.cpp
+++ b/coltsfootbend/quarantine/crash_archive_test.cpp
@@ -13,7 +13,7 @@
 
 // The contents of a store that can be set to refuse calls.
 struct model_rows {
-    std::map<std::string, kept_crash> rows;
+    std::map<std::string, stored_crash> rows;
     bool isRefusing = false;
     int calls = 0;
 };
@@ -25,19 +25,19 @@
     {
     }
 
-    result<std::vector<kept_crash>> readCrashes(time_point) override
+    result<std::vector<stored_crash>> readCrashes(time_point) override
     {
         ++m_model.calls;
         if (m_model.isRefusing)
             return fail(error_kind::Unavailable, "refused");
-        std::vector<kept_crash> all;
+        std::vector<stored_crash> all;
         for (const auto& [name, row] : m_model.rows)
             all.push_back(row);
         return all;
     }
 
     result<void> changeCrashes(
-        const std::vector<kept_crash>& written, const std::vector<kept_crash>& removed, time_point) override
+        const std::vector<stored_crash>& written, const std::vector<stored_crash>& removed, time_point) override
     {
         ++m_model.calls;
         if (m_model.isRefusing)
@@ -49,7 +49,7 @@
         return {};
     }
 
-    static std::string nameOf(const kept_crash& row) { return row.request.text() + "." + row.server.text(); }
+    static std::string nameOf(const stored_crash& row) { return row.request.text() + "." + row.server.text(); }
 
 private:
     model_rows& m_model;
@@ -96,7 +96,7 @@
 TEST_F(crash_archive_test, RestoresRecordsAfterARestart)
 {
     play([&](fiber_runtime& runtime, crash_archive& archive) {
-        archive.keep({ m_first, m_second });
+        archive.queueWrite({ m_first, m_second });
         runtime.sleepFor(600ms);
     });
     play([](fiber_runtime& runtime, crash_archive&) { runtime.sleepFor(100ms); });
@@ -108,12 +108,12 @@
 TEST_F(crash_archive_test, RemovesClearedRecords)
 {
     play([&](fiber_runtime& runtime, crash_archive& archive) {
-        archive.keep({ m_first, m_second });
+        archive.queueWrite({ m_first, m_second });
         runtime.sleepFor(600ms);
         EXPECT_EQ(names(), (row_names { "r.1", "r.2" }));
         auto cleared = m_first;
         cleared.isCleared = true;
-        archive.keep({ cleared });
+        archive.queueWrite({ cleared });
         runtime.sleepFor(600ms);
     });
     EXPECT_EQ(names(), (row_names { "r.2" }));
@@ -123,7 +123,7 @@
 {
     m_model.isRefusing = true;
     play([&](fiber_runtime& runtime, crash_archive& archive) {
-        archive.keep({ m_first });
+        archive.queueWrite({ m_first });
         runtime.sleepFor(500ms);
         EXPECT_TRUE(m_model.rows.empty());
         m_model.isRefusing = false;
@@ -134,7 +134,7 @@
 
 TEST_F(crash_archive_test, RemovesExpiredRowsAndDoesNotRestoreThem)
 {
-    const kept_crash old { .request = request_fingerprint("r"),
+    const stored_crash old { .request = request_fingerprint("r"),
         .server = server_incarnation("0"),
         .at = std::chrono::system_clock::now() - 2h };
     m_model.rows[model_crash_store::nameOf(old)] = old;
