--- a/coltsfootbend/gateway/backend_picker.h
+++ b/coltsfootbend/gateway/backend_picker.h
@@ -67,7 +67,7 @@
         m_sendPermitRequest = std::move(sendPermitRequest);
     }
     // Returns the queue of requests that wait for limited servers of `deployment`.
-    waiting_line& queueOf(const deployment_id& deployment) { return m_deployments[deployment].queue; }
+    waiting_queue& queueOf(const deployment_id& deployment) { return m_deployments[deployment].queue; }
 
     // Sets the number of gateways that send to the same servers, including this one.
     void setGatewayCount(std::uint32_t count) { m_gatewayCount = std::max(1U, count); }
@@ -139,7 +139,7 @@
         double requestsPerSecond = 0;
         time_point lastSentAt {};
         // Requests that wait for limited servers.
-        waiting_line queue;
+        waiting_queue queue;
         // Latest retry time assigned to a caller that was refused because of limits.
         time_point lastScheduledRetryAt {};
     };
--- a/coltsfootbend/gateway/exchange.h
+++ b/coltsfootbend/gateway/exchange.h
@@ -128,7 +128,7 @@
     bool m_isReturning = false;
     request_fingerprint m_fingerprint;
     bool m_wasHeld = false; // The request has waited in this gateway for a slot or for its group.
-    std::optional<waiting_line::place> m_queuePlace; // Set while it waits for rate-limited servers.
+    std::optional<waiting_queue::place> m_queuePlace; // Set while it waits for rate-limited servers.
 
     // Shared with the watcher of the caller's connection, which may outlive this exchange.
     struct caller_state {
--- a/coltsfootbend/gateway/pick.h
+++ b/coltsfootbend/gateway/pick.h
@@ -6,7 +6,7 @@
 //     const pick_request request { .deployment = id, .latencyTarget = 400ms, .deadline = deadline };
 
 #include "coltsfootbend/gateway/backend_directory.h"
-#include "coltsfootbend/limits/waiting_line.h"
+#include "coltsfootbend/limits/waiting_queue.h"
 
 #include <optional>
 #include <vector>
@@ -56,7 +56,7 @@
     // 0 is the most urgent.
     std::uint32_t priority = 0;
     // Position in the queue for limited servers; none while the request is not queued.
-    std::optional<waiting_line::place> place;
+    std::optional<waiting_queue::place> place;
     // Servers that this request was sent to already.
     std::vector<backend_instance> excluded;
 };
--- a/coltsfootbend/limits/waiting_line.h
+++ b/coltsfootbend/limits/waiting_queue.h
@@ -3,8 +3,8 @@
 // Orders requests that wait for the same resource by priority, then by arrival. Keeps no time and wakes no request:
 // each waiting request checks how many are ahead of it.
 //
-//     const auto place = line.join(priority);
-//     if (line.ahead(place) < free) { line.leave(place); ... }
+//     const auto place = queue.join(priority);
+//     if (queue.ahead(place) < free) { queue.leave(place); ... }
 
 #include <compare>
 #include <cstddef>
@@ -15,7 +15,7 @@
 namespace coltsfootbend {
 
 // A queue of requests for one resource.
-class waiting_line {
+class waiting_queue {
 public:
     // The position of one request in the queue.
     struct place {
