--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -186,7 +186,7 @@
     const double reserve = std::max(1.0, usedBudgetShare * shared.extra / m_gatewayCount / 2);
     const retry_budget::options options { .retriesPerSuccess = usedBudgetShare * shared.ratio,
         .reserve = reserve,
-        .most = reserve,
+        .maxRetries = reserve,
         .reservePerSecond = reserve / window };
     m_context->retryBudgets.clear();
     for (const auto& deployment : m_context->catalogue->deployments())
--- a/coltsfootbend/limits/retry_budget.h
+++ b/coltsfootbend/limits/retry_budget.h
@@ -4,7 +4,7 @@
 // VM has one budget for each deployment. Does not cover the retries of callers, which an entry VM cannot distinguish
 // from new requests.
 //
-//     retry_budget budget({ .retriesPerSuccess = 0.1, .reserve = 10, .most = 100 });
+//     retry_budget budget({ .retriesPerSuccess = 0.1, .reserve = 10, .maxRetries = 100 });
 //     budget.recordSuccess();
 //     if (budget.takeRetry(now))
 //         tryAnotherWorker();
@@ -24,7 +24,7 @@
         // Number of retries available initially, and up to which the budget refills with time.
         double reserve = 10;
         // Maximum number of retries that successes accumulate.
-        double most = 100;
+        double maxRetries = 100;
         // Rate at which the budget refills up to the reserve without successes, in retries a second.
         double reservePerSecond = 1;
     };
@@ -35,7 +35,7 @@
     {
     }
 
-    void recordSuccess() { m_tokens = std::min(m_options.most, m_tokens + m_options.retriesPerSuccess); }
+    void recordSuccess() { m_tokens = std::min(m_options.maxRetries, m_tokens + m_options.retriesPerSuccess); }
 
     // Takes one retry from the budget. Returns false if there is none.
     bool takeRetry(time_point now) override
--- a/coltsfootbend/limits/retry_budget_test.cpp
+++ b/coltsfootbend/limits/retry_budget_test.cpp
@@ -9,7 +9,7 @@
 
 TEST(RetryBudget, AllowsAShareOfSuccessesBeyondTheReserve)
 {
-    retry_budget budget({ .retriesPerSuccess = 0.1, .reserve = 2, .most = 50, .reservePerSecond = 0 });
+    retry_budget budget({ .retriesPerSuccess = 0.1, .reserve = 2, .maxRetries = 50, .reservePerSecond = 0 });
     const auto now = time_point {} + 1h;
     for (int i = 0; i < 200; ++i)
         budget.recordSuccess();
@@ -21,7 +21,7 @@
 
 TEST(RetryBudget, RefillsTheReserveWithTime)
 {
-    retry_budget budget({ .retriesPerSuccess = 0.1, .reserve = 3, .most = 50, .reservePerSecond = 1 });
+    retry_budget budget({ .retriesPerSuccess = 0.1, .reserve = 3, .maxRetries = 50, .reservePerSecond = 1 });
     auto now = time_point {} + 1h;
     while (budget.takeRetry(now)) { }
     EXPECT_FALSE(budget.takeRetry(now + 500ms));
--- a/coltsfootbend/measure/request_world.cpp
+++ b/coltsfootbend/measure/request_world.cpp
@@ -46,7 +46,7 @@
     entry->dataCentre = index / entriesEach;
     entry->life = incarnation(++m_lives);
     entry->routes = std::make_unique<router>(router::options { .seed = m_random() });
-    entry->retries = std::make_unique<retry_budget>(retry_budget::options { .reserve = 50, .most = 200 });
+    entry->retries = std::make_unique<retry_budget>(retry_budget::options { .reserve = 50, .maxRetries = 200 });
     tellWorkers(*entry);
     return entry;
 }
