--- a/coltsfootbend/gateway/permit_network.cpp
+++ b/coltsfootbend/gateway/permit_network.cpp
@@ -40,7 +40,7 @@
     if (!m_agents.hasAny()) {
         const auto least = permit_issuer::options {}.leastPerSecond;
         request.limit.perSecond = std::max(request.limit.perSecond, least) / m_gateways;
-        m_ownDesk.hear({}, request);
+        m_ownDesk.receiveRequest({}, request);
         return;
     }
     // Without one that is heard nobody knows what others send: the server is left alone.
--- a/coltsfootbend/gateway/permit_network.h
+++ b/coltsfootbend/gateway/permit_network.h
@@ -12,7 +12,7 @@
 #include "coltsfootbend/gateway/agent_directory.h"
 #include "coltsfootbend/gateway/backend_notices.h"
 #include "coltsfootbend/net/datagram.h"
-#include "coltsfootbend/permits/permit_desk.h"
+#include "coltsfootbend/permits/permit_service.h"
 
 namespace coltsfootbend {
 
@@ -41,7 +41,7 @@
     backend_notices& m_notices;
     const agent_directory& m_agents;
     datagram_socket& m_socket;
-    permit_desk m_ownDesk;
+    permit_service m_ownDesk;
     std::uint32_t m_gateways = 1;
 };
 
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -84,7 +84,7 @@
     m_crashChannel = std::make_unique<datagram_crash_channel>(m_settings.vm, *m_news);
     m_gossip = std::make_unique<crash_gossip>(m_crashes, *m_crashChannel);
     m_permits
-        = std::make_unique<permit_desk>(m_runtime, [this](const endpoint& gateway, const wire::permit_reply& reply) {
+        = std::make_unique<permit_service>(m_runtime, [this](const endpoint& gateway, const wire::permit_reply& reply) {
               m_news->send(gateway,
                   wire::encode({ .sender = m_settings.vm, .senderLife = {}, .version = {}, .content = reply }));
           });
@@ -150,7 +150,7 @@
         else if (const auto* crashes = content ? std::get_if<wire::crash_report>(content) : nullptr)
             m_gossip->receive(got->sender, *crashes, clock_type::now());
         else if (const auto* permit = content ? std::get_if<wire::permit_request>(content) : nullptr)
-            m_permits->hear(got->sender, *permit);
+            m_permits->receiveRequest(got->sender, *permit);
         else
             m_metrics->count("datagrams_unreadable_total");
     }
--- a/coltsfootbend/group/rank_service.h
+++ b/coltsfootbend/group/rank_service.h
@@ -14,7 +14,7 @@
 #include "coltsfootbend/group/relay_peers.h"
 #include "coltsfootbend/metrics/metrics.h"
 #include "coltsfootbend/net/datagram.h"
-#include "coltsfootbend/permits/permit_desk.h"
+#include "coltsfootbend/permits/permit_service.h"
 #include "coltsfootbend/quarantine/datagram_crash_channel.h"
 #include "coltsfootbend/settings/settings.h"
 
@@ -72,7 +72,7 @@
     crash_history m_crashes;
     std::unique_ptr<datagram_crash_channel> m_crashChannel;
     std::unique_ptr<crash_gossip> m_gossip;
-    std::unique_ptr<permit_desk> m_permits;
+    std::unique_ptr<permit_service> m_permits;
     load_subscribers m_subscribers { std::random_device {}() };
     std::optional<group_membership> m_group; // By the last report.
     news_schedule m_newsSchedule;
--- a/coltsfootbend/permits/permit_issuer.h
+++ b/coltsfootbend/permits/permit_issuer.h
@@ -3,7 +3,7 @@
 // Divides the request rate that a backend server accepts among the gateways: each request to a limited server needs a
 // permit, and one process issues all permits of a server. Permits are issued at even intervals and do not accumulate,
 // so that idle or restarted gateways never raise the rate above the limit. Deterministic; does not communicate with
-// gateways: see `permits/permit_desk.h`.
+// gateways: see `permits/permit_service.h`.
 //
 //     issuer.hear(server, { .life = 7, .perSecond = 1.5, .isNamed = true, .at = receivedAt }, now);
 //     issuer.wish(server, gateway, serial, now);
--- a/coltsfootbend/permits/permit_desk.cpp
+++ b/coltsfootbend/permits/permit_service.cpp
@@ -1,4 +1,4 @@
-#include "coltsfootbend/permits/permit_desk.h"
+#include "coltsfootbend/permits/permit_service.h"
 
 #include <algorithm>
 #include <utility>
@@ -33,7 +33,7 @@
         .at = now - std::chrono::milliseconds(std::min(limit.ageMs, maxAgeMs)) };
 }
 
-permit_desk::permit_desk(fiber_runtime& runtime, send_function send, const permit_issuer::options& options)
+permit_service::permit_service(fiber_runtime& runtime, send_function send, const permit_issuer::options& options)
     : m_send(std::move(send))
     , m_issuer(options)
     , m_hasRequest(runtime)
@@ -41,7 +41,7 @@
     runtime.spawn([this] { issueLoop(); });
 }
 
-void permit_desk::hear(const endpoint& gateway, const wire::permit_request& request)
+void permit_service::receiveRequest(const endpoint& gateway, const wire::permit_request& request)
 {
     const auto now = clock_type::now();
     const permit_subject subject(request.limit.server);
@@ -54,7 +54,7 @@
     m_hasRequest.notify();
 }
 
-wire::permit_reply permit_desk::replyTo(
+wire::permit_reply permit_service::replyTo(
     const permit_subject& subject, const permit_asker& asker, std::uint64_t serial, time_point now) const
 {
     const auto outlook = m_issuer.outlookFor(subject, asker, now);
@@ -65,7 +65,7 @@
         .askers = outlook.askers };
 }
 
-std::vector<wire::server_limit> permit_desk::limits(time_point now) const
+std::vector<wire::server_limit> permit_service::limits(time_point now) const
 {
     std::vector<wire::server_limit> reported;
     for (const auto& [subject, statement] : m_issuer.statements(now))
@@ -76,7 +76,7 @@
     return reported;
 }
 
-void permit_desk::issueLoop()
+void permit_service::issueLoop()
 {
     while (!m_stopped) {
         const auto now = clock_type::now();
@@ -90,7 +90,7 @@
     }
 }
 
-void permit_desk::stop()
+void permit_service::stop()
 {
     m_stopped = true;
     m_hasRequest.notify();
