--- a/coltsfootbend/gateway/limit_trial_test.cpp
+++ b/coltsfootbend/gateway/limit_trial_test.cpp
@@ -120,7 +120,7 @@
                 request(i);
         }
         for (const auto& permit : m_issuer->issue(m_now))
-            reply(std::stoul(permit.asker.text()), permit.serial, true);
+            reply(std::stoul(permit.requester.text()), permit.serial, true);
         // Agents tell all gateways what servers have named.
         if ((m_now - start) % 100ms == duration::zero())
             tellAll();
@@ -168,17 +168,17 @@
             m_issuer->hear(subject, limit, m_now);
             if (!wants)
                 return;
-            m_issuer->wish(subject, permit_asker(std::to_string(number)), serial, m_now);
+            m_issuer->wish(subject, permit_requester(std::to_string(number)), serial, m_now);
             reply(number, serial, false);
         });
     }
 
     void reply(std::size_t number, std::uint64_t serial, bool isGranted)
     {
-        const auto outlook = m_issuer->outlookFor(subject, permit_asker(std::to_string(number)), m_now);
+        const auto outlook = m_issuer->estimateWait(subject, permit_requester(std::to_string(number)), m_now);
         message([this, number, serial, isGranted, outlook, life = m_gateways[number].life] {
             reach(number, life, [this, serial, isGranted, outlook](gateway_state& gateway) {
-                gateway.notices->expectPermit(server.id, serial, outlook.expectedAt, outlook.askers);
+                gateway.notices->expectPermit(server.id, serial, outlook.expectedAt, outlook.waitingGateways);
                 if (isGranted)
                     gateway.notices->grant(server.id, serial, m_now);
             });
--- a/coltsfootbend/permits/permit_issuer.cpp
+++ b/coltsfootbend/permits/permit_issuer.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-time_point lastGrantOf(const std::map<permit_asker, time_point>& lastGrantedAt, const permit_asker& asker)
+time_point lastGrantOf(const std::map<permit_requester, time_point>& lastGrantedAt, const permit_requester& requester)
 {
-    const auto found = lastGrantedAt.find(asker);
+    const auto found = lastGrantedAt.find(requester);
     return found == lastGrantedAt.end() ? time_point {} : found->second;
 }
 
@@ -53,7 +53,8 @@
     return reported;
 }
 
-void permit_issuer::wish(const permit_subject& subject, const permit_asker& asker, std::uint64_t serial, time_point now)
+void permit_issuer::wish(
+    const permit_subject& subject, const permit_requester& requester, std::uint64_t serial, time_point now)
 {
     const auto found = m_subjects.find(subject);
     if (found == m_subjects.end() || !found->second.statement.isNamed)
@@ -65,10 +66,10 @@
             = std::uniform_real_distribution<double>()(m_random) * toMilliseconds(interval(state.statement));
         state.lastPermitAt = now + fromMilliseconds(delayMs) - interval(state.statement);
     }
-    state.requests[asker] = { .serial = serial, .until = now + m_options.requestTimeout };
+    state.requests[requester] = { .serial = serial, .until = now + m_options.requestTimeout };
 }
 
-bool permit_issuer::isServedBefore(const subject_state& state, const permit_asker& a, const permit_asker& b)
+bool permit_issuer::isServedBefore(const subject_state& state, const permit_requester& a, const permit_requester& b)
 {
     return std::pair(lastGrantOf(state.lastGrantedAt, a), a) < std::pair(lastGrantOf(state.lastGrantedAt, b), b);
 }
@@ -81,7 +82,7 @@
         while (!state.requests.empty() && dueAt(state) <= now) {
             const auto first = std::min_element(state.requests.begin(), state.requests.end(),
                 [&state = state](const auto& a, const auto& b) { return isServedBefore(state, a.first, b.first); });
-            issued.push_back({ .subject = subject, .asker = first->first, .serial = first->second.serial });
+            issued.push_back({ .subject = subject, .requester = first->first, .serial = first->second.serial });
             state.lastGrantedAt[first->first] = now;
             state.requests.erase(first);
             state.lastPermitAt = std::max<time_point>(dueAt(state), now - m_options.catchUpLimit);
@@ -100,17 +101,17 @@
     return next;
 }
 
-permit_issuer::outlook permit_issuer::outlookFor(
-    const permit_subject& subject, const permit_asker& asker, time_point now) const
+permit_issuer::wait_estimate permit_issuer::estimateWait(
+    const permit_subject& subject, const permit_requester& requester, time_point now) const
 {
     const auto found = m_subjects.find(subject);
     if (found == m_subjects.end())
-        return { .expectedAt = now, .askers = 0 };
+        return { .expectedAt = now, .waitingGateways = 0 };
     const auto& state = found->second;
     const auto ahead = std::count_if(state.requests.begin(), state.requests.end(),
-        [&](const auto& entry) { return entry.first != asker && isServedBefore(state, entry.first, asker); });
+        [&](const auto& entry) { return entry.first != requester && isServedBefore(state, entry.first, requester); });
     return { .expectedAt = std::max(dueAt(state), now) + ahead * interval(state.statement),
-        .askers = static_cast<std::uint32_t>(state.requests.size()) };
+        .waitingGateways = static_cast<std::uint32_t>(state.requests.size()) };
 }
 
 void permit_issuer::expire(time_point now)
--- a/coltsfootbend/permits/permit_issuer.h
+++ b/coltsfootbend/permits/permit_issuer.h
@@ -22,7 +22,7 @@
 
 // Identify a backend server by its registered name, and a gateway by its address.
 using permit_subject = text_id<struct permit_subject_tag>;
-using permit_asker = text_id<struct permit_asker_tag>;
+using permit_requester = text_id<struct permit_requester_tag>;
 
 // A backend server's statement of the request rate that it accepts.
 struct limit_statement {
@@ -65,13 +65,13 @@
     // The permission for one request of a gateway to a server.
     struct permit {
         permit_subject subject;
-        permit_asker asker;
+        permit_requester requester;
         std::uint64_t serial = 0; // Number of the request, set by the gateway.
     };
     // Estimate of the wait of a gateway for its permit.
-    struct outlook {
+    struct wait_estimate {
         time_point expectedAt {}; // When this gateway's permit is expected to be issued.
-        std::uint32_t askers = 0; // Number of waiting gateways, including this one.
+        std::uint32_t waitingGateways = 0; // Number of waiting gateways, including this one.
     };
 
     permit_issuer()
@@ -93,13 +93,13 @@
 
     // Queues a gateway's request for one permit; a repeated one replaces the one before. Has no effect unless the
     // server states a limit.
-    void wish(const permit_subject&, const permit_asker&, std::uint64_t serial, time_point now);
+    void wish(const permit_subject&, const permit_requester&, std::uint64_t serial, time_point now);
     // Returns the permits that are due, first for the gateway whose last permit is the oldest. O(subjects + requests).
     std::vector<permit> issue(time_point now);
     // Returns when the next permit is due; none if no gateway waits.
     std::optional<time_point> nextAt() const;
     // Estimates when a gateway's permit will be issued.
-    outlook outlookFor(const permit_subject&, const permit_asker&, time_point now) const;
+    wait_estimate estimateWait(const permit_subject&, const permit_requester&, time_point now) const;
 
     // Removes the servers and gateways that no message has referred to within the retention.
     void expire(time_point now);
@@ -113,14 +113,14 @@
         limit_statement statement;
         time_point lastReferencedAt {};
         time_point lastPermitAt {}; // Initially the time at which this process began to issue.
-        std::map<permit_asker, pending_request> requests;
-        std::map<permit_asker, time_point> lastGrantedAt; // Time of each gateway's last permit.
+        std::map<permit_requester, pending_request> requests;
+        std::map<permit_requester, time_point> lastGrantedAt; // Time of each gateway's last permit.
     };
 
     duration interval(const limit_statement&) const;
     time_point dueAt(const subject_state& state) const { return state.lastPermitAt + interval(state.statement); }
     // Returns whether waiting gateway `a` is served before `b`.
-    static bool isServedBefore(const subject_state&, const permit_asker& a, const permit_asker& b);
+    static bool isServedBefore(const subject_state&, const permit_requester& a, const permit_requester& b);
 
     const options m_options;
     std::minstd_rand m_random;
--- a/coltsfootbend/permits/permit_issuer_test.cpp
+++ b/coltsfootbend/permits/permit_issuer_test.cpp
@@ -14,7 +14,7 @@
 const permit_subject server("b");
 const time_point start { 100s };
 
-permit_asker gateway(int number) { return permit_asker("g" + std::to_string(number)); }
+permit_requester gateway(int number) { return permit_requester("g" + std::to_string(number)); }
 
 limit_statement named(double perSecond, time_point at, std::uint64_t life = 0)
 {
@@ -56,12 +56,12 @@
 {
     permit_issuer issuer;
     issuer.hear(server, named(1, start), start);
-    std::vector<permit_asker> served;
+    std::vector<permit_requester> served;
     for (auto now = start; now < start + 9500ms; now += 100ms) {
         for (int i = 0; i < 3; ++i)
             issuer.wish(server, gateway(i), 1, now);
         for (const auto& permit : issuer.issue(now))
-            served.push_back(permit.asker);
+            served.push_back(permit.requester);
     }
     ASSERT_EQ(served.size(), 9U);
     for (std::size_t i = 3; i < served.size(); ++i)
@@ -85,7 +85,7 @@
     for (int i = 0; i < 5; ++i)
         issuer.wish(server, gateway(i), 1, later);
     EXPECT_EQ(issuer.issue(later).size(), 1U) << "permits do not accumulate in an idle minute";
-    EXPECT_NEAR(toMilliseconds(issuer.outlookFor(server, gateway(4), later).expectedAt - later), 4000, 100);
+    EXPECT_NEAR(toMilliseconds(issuer.estimateWait(server, gateway(4), later).expectedAt - later), 4000, 100);
 }
 
 TEST(PermitIssuer, ANewIssuerWaitsForAnIntervalBeforeItsFirstPermit)
--- a/coltsfootbend/permits/permit_service.cpp
+++ b/coltsfootbend/permits/permit_service.cpp
@@ -45,24 +45,24 @@
 {
     const auto now = clock_type::now();
     const permit_subject subject(request.limit.server);
-    const permit_asker asker(toString(gateway));
+    const permit_requester requester(toString(gateway));
     m_issuer.hear(subject, fromWire(request.limit, now), now);
     if (!request.wantsPermit)
         return;
-    m_issuer.wish(subject, asker, request.serial, now);
-    m_send(gateway, replyTo(subject, asker, request.serial, now));
+    m_issuer.wish(subject, requester, request.serial, now);
+    m_send(gateway, replyTo(subject, requester, request.serial, now));
     m_hasRequest.notify();
 }
 
 wire::permit_reply permit_service::replyTo(
-    const permit_subject& subject, const permit_asker& asker, std::uint64_t serial, time_point now) const
+    const permit_subject& subject, const permit_requester& requester, std::uint64_t serial, time_point now) const
 {
-    const auto outlook = m_issuer.outlookFor(subject, asker, now);
+    const auto estimate = m_issuer.estimateWait(subject, requester, now);
     return { .limit = toWire(subject, m_issuer.statement(subject).value_or(limit_statement {}), now),
         .serial = serial,
         .isGranted = false,
-        .expectedInMs = static_cast<std::uint64_t>(remaining(now, outlook.expectedAt).count()),
-        .askers = outlook.askers };
+        .expectedInMs = static_cast<std::uint64_t>(remaining(now, estimate.expectedAt).count()),
+        .askers = estimate.waitingGateways };
 }
 
 std::vector<wire::server_limit> permit_service::limits(time_point now) const
@@ -81,9 +81,9 @@
     while (!m_stopped) {
         const auto now = clock_type::now();
         for (const auto& permit : m_issuer.issue(now)) {
-            auto reply = replyTo(permit.subject, permit.asker, permit.serial, now);
+            auto reply = replyTo(permit.subject, permit.requester, permit.serial, now);
             reply.isGranted = true;
-            if (const auto gateway = parseEndpoint(permit.asker.text()))
+            if (const auto gateway = parseEndpoint(permit.requester.text()))
                 m_send(*gateway, reply);
         }
         (void)m_hasRequest.waitUntil(m_issuer.nextAt().value_or(now + idleWait));
--- a/coltsfootbend/permits/permit_service.h
+++ b/coltsfootbend/permits/permit_service.h
@@ -42,7 +42,8 @@
 
 private:
     void issueLoop();
-    wire::permit_reply replyTo(const permit_subject&, const permit_asker&, std::uint64_t serial, time_point now) const;
+    wire::permit_reply replyTo(
+        const permit_subject&, const permit_requester&, std::uint64_t serial, time_point now) const;
 
     const send_function m_send;
     permit_issuer m_issuer;
