--- a/coltsfootbend/gateway/limit_trial_test.cpp
+++ b/coltsfootbend/gateway/limit_trial_test.cpp
@@ -165,10 +165,10 @@
     {
         const auto limit = m_gateways[number].notices->limitOf(server);
         message([this, number, serial, wants, limit = *limit] {
-            m_issuer->hear(subject, limit, m_now);
+            m_issuer->receiveStatement(subject, limit, m_now);
             if (!wants)
                 return;
-            m_issuer->wish(subject, permit_requester(std::to_string(number)), serial, m_now);
+            m_issuer->requestPermit(subject, permit_requester(std::to_string(number)), serial, m_now);
             reply(number, serial, false);
         });
     }
--- a/coltsfootbend/permits/permit_issuer.cpp
+++ b/coltsfootbend/permits/permit_issuer.cpp
@@ -19,7 +19,7 @@
     return fromMilliseconds(1000 / std::max(statement.perSecond, m_options.leastPerSecond));
 }
 
-bool permit_issuer::hear(const permit_subject& subject, const limit_statement& statement, time_point now)
+bool permit_issuer::receiveStatement(const permit_subject& subject, const limit_statement& statement, time_point now)
 {
     const auto [found, isNewServer] = m_subjects.try_emplace(subject);
     auto& state = found->second;
@@ -53,7 +53,7 @@
     return reported;
 }
 
-void permit_issuer::wish(
+void permit_issuer::requestPermit(
     const permit_subject& subject, const permit_requester& requester, std::uint64_t serial, time_point now)
 {
     const auto found = m_subjects.find(subject);
--- a/coltsfootbend/permits/permit_issuer.h
+++ b/coltsfootbend/permits/permit_issuer.h
@@ -5,8 +5,8 @@
 // so that idle or restarted gateways never raise the rate above the limit. Deterministic; does not communicate with
 // gateways: see `permits/permit_service.h`.
 //
-//     issuer.hear(server, { .life = 7, .perSecond = 1.5, .isNamed = true, .at = receivedAt }, now);
-//     issuer.wish(server, gateway, serial, now);
+//     issuer.receiveStatement(server, { .life = 7, .perSecond = 1.5, .isNamed = true, .at = receivedAt }, now);
+//     issuer.requestPermit(server, gateway, serial, now);
 //     for (const auto& permit : issuer.issue(now)) ...
 
 #include "coltsfootbend/base/id.h"
@@ -85,7 +85,7 @@
     }
 
     // Records a statement. Returns false if a statement received earlier replaces it.
-    bool hear(const permit_subject&, const limit_statement&, time_point now);
+    bool receiveStatement(const permit_subject&, const limit_statement&, time_point now);
     // Returns the statement of a server, or none if none was received.
     std::optional<limit_statement> statement(const permit_subject&) const;
     // Returns the statements to report to other processes: all limits, and the recent ends of limits. O(subjects).
@@ -93,7 +93,7 @@
 
     // Queues a gateway's request for one permit; a repeated one replaces the one before. Has no effect unless the
     // server states a limit.
-    void wish(const permit_subject&, const permit_requester&, std::uint64_t serial, time_point now);
+    void requestPermit(const permit_subject&, const permit_requester&, std::uint64_t serial, time_point now);
     // Returns the permits that are due, first for the gateway whose last permit is the oldest. O(subjects + requests).
     std::vector<permit> issue(time_point now);
     // Returns when the next permit is due; none if no gateway waits.
--- a/coltsfootbend/permits/permit_issuer_test.cpp
+++ b/coltsfootbend/permits/permit_issuer_test.cpp
@@ -34,8 +34,8 @@
         if ((now - start) % requestInterval < 5ms) {
             for (int i = 0; i < gateways; ++i) {
                 // Each gateway received the limit at a different time.
-                issuer.hear(server, named(limit, now - std::chrono::milliseconds(i)), now);
-                issuer.wish(server, gateway(i), 1, now);
+                issuer.receiveStatement(server, named(limit, now - std::chrono::milliseconds(i)), now);
+                issuer.requestPermit(server, gateway(i), 1, now);
             }
         }
         for (const auto& permit : issuer.issue(now)) {
@@ -55,11 +55,11 @@
 TEST(PermitIssuer, ServesTheGatewayWithTheOldestPermitFirst)
 {
     permit_issuer issuer;
-    issuer.hear(server, named(1, start), start);
+    issuer.receiveStatement(server, named(1, start), start);
     std::vector<permit_requester> served;
     for (auto now = start; now < start + 9500ms; now += 100ms) {
         for (int i = 0; i < 3; ++i)
-            issuer.wish(server, gateway(i), 1, now);
+            issuer.requestPermit(server, gateway(i), 1, now);
         for (const auto& permit : issuer.issue(now))
             served.push_back(permit.requester);
     }
@@ -71,8 +71,8 @@
 TEST(PermitIssuer, DropsRequestsThatAreNotRepeated)
 {
     permit_issuer issuer;
-    issuer.hear(server, named(0.5, start), start);
-    issuer.wish(server, gateway(1), 1, start);
+    issuer.receiveStatement(server, named(0.5, start), start);
+    issuer.requestPermit(server, gateway(1), 1, start);
     EXPECT_TRUE(issuer.issue(start + 1900ms).empty());
     EXPECT_TRUE(issuer.issue(start + 2100ms).empty()) << "the request is two seconds old";
 }
@@ -80,10 +80,10 @@
 TEST(PermitIssuer, IssuesADuePermitAtOnceAndTheNextAfterAnInterval)
 {
     permit_issuer issuer;
-    issuer.hear(server, named(1, start), start);
+    issuer.receiveStatement(server, named(1, start), start);
     const auto later = start + 60s;
     for (int i = 0; i < 5; ++i)
-        issuer.wish(server, gateway(i), 1, later);
+        issuer.requestPermit(server, gateway(i), 1, later);
     EXPECT_EQ(issuer.issue(later).size(), 1U) << "permits do not accumulate in an idle minute";
     EXPECT_NEAR(toMilliseconds(issuer.estimateWait(server, gateway(4), later).expectedAt - later), 4000, 100);
 }
@@ -91,8 +91,8 @@
 TEST(PermitIssuer, ANewIssuerWaitsForAnIntervalBeforeItsFirstPermit)
 {
     permit_issuer issuer;
-    issuer.hear(server, named(1, start - 30s), start);
-    issuer.wish(server, gateway(1), 1, start);
+    issuer.receiveStatement(server, named(1, start - 30s), start);
+    issuer.requestPermit(server, gateway(1), 1, start);
     EXPECT_TRUE(issuer.issue(start).empty()) << "another process may have issued a permit a moment ago";
     EXPECT_EQ(issuer.issue(start + 1s).size(), 1U);
 }
@@ -100,22 +100,22 @@
 TEST(PermitIssuer, TheNewestStatementOfAnIncarnationCountsInAnyOrderOfArrival)
 {
     permit_issuer issuer;
-    EXPECT_TRUE(issuer.hear(server, named(1, start + 2s, 7), start + 2s));
-    EXPECT_FALSE(issuer.hear(server, { .life = 7, .isNamed = false, .at = start + 1s }, start + 3s))
+    EXPECT_TRUE(issuer.receiveStatement(server, named(1, start + 2s, 7), start + 2s));
+    EXPECT_FALSE(issuer.receiveStatement(server, { .life = 7, .isNamed = false, .at = start + 1s }, start + 3s))
         << "an older statement that arrives late";
-    EXPECT_TRUE(issuer.hear(server, { .life = 7, .isNamed = false, .at = start + 3s }, start + 3s));
-    issuer.wish(server, gateway(1), 1, start + 3s);
+    EXPECT_TRUE(issuer.receiveStatement(server, { .life = 7, .isNamed = false, .at = start + 3s }, start + 3s));
+    issuer.requestPermit(server, gateway(1), 1, start + 3s);
     EXPECT_TRUE(issuer.issue(start + 9s).empty()) << "the server states no limit any more";
-    EXPECT_FALSE(issuer.hear(server, named(1, start + 4s, 6), start + 4s)) << "an earlier incarnation";
-    EXPECT_TRUE(issuer.hear(server, named(2, start + 1s, 8), start + 4s)) << "a later incarnation";
+    EXPECT_FALSE(issuer.receiveStatement(server, named(1, start + 4s, 6), start + 4s)) << "an earlier incarnation";
+    EXPECT_TRUE(issuer.receiveStatement(server, named(2, start + 1s, 8), start + 4s)) << "a later incarnation";
     EXPECT_EQ(issuer.statement(server)->perSecond, 2);
 }
 
 TEST(PermitIssuer, ReportsTheEndOfALimitForAWhile)
 {
     permit_issuer issuer;
-    issuer.hear(server, named(1, start), start);
-    issuer.hear(server, { .isNamed = false, .at = start + 1s }, start + 1s);
+    issuer.receiveStatement(server, named(1, start), start);
+    issuer.receiveStatement(server, { .isNamed = false, .at = start + 1s }, start + 1s);
     EXPECT_EQ(issuer.statements(start + 2s).count(server), 1U);
     EXPECT_EQ(issuer.statements(start + 7s).count(server), 0U);
 }
--- a/coltsfootbend/permits/permit_service.cpp
+++ b/coltsfootbend/permits/permit_service.cpp
@@ -46,10 +46,10 @@
     const auto now = clock_type::now();
     const permit_subject subject(request.limit.server);
     const permit_requester requester(toString(gateway));
-    m_issuer.hear(subject, fromWire(request.limit, now), now);
+    m_issuer.receiveStatement(subject, fromWire(request.limit, now), now);
     if (!request.wantsPermit)
         return;
-    m_issuer.wish(subject, requester, request.serial, now);
+    m_issuer.requestPermit(subject, requester, request.serial, now);
     m_send(gateway, replyTo(subject, requester, request.serial, now));
     m_hasRequest.notify();
 }
