--- a/coltsfootbend/gateway/backend_notices.cpp
+++ b/coltsfootbend/gateway/backend_notices.cpp
@@ -92,7 +92,7 @@
     if (!state)
         return {};
     state->heardAt = now;
-    return state->limit.isOverruledBy(limit) ? takeLimit(*state, limit) : std::string();
+    return state->limit.isSupersededBy(limit) ? takeLimit(*state, limit) : std::string();
 }
 
 std::optional<limit_statement> backend_notices::limitOf(const backend_instance& server) const
--- a/coltsfootbend/gateway/permit_network.cpp
+++ b/coltsfootbend/gateway/permit_network.cpp
@@ -16,7 +16,7 @@
     , m_agents(agents)
     , m_socket(socket)
     , m_ownDesk(runtime, [this](const endpoint&, const wire::permit_reply& reply) { hear(reply); },
-          { .leastPerSecond = 0, .drawSeed = std::random_device {}() })
+          { .minPerSecond = 0, .delaySeed = std::random_device {}() })
 {
 }
 
@@ -38,7 +38,7 @@
         return;
     request.limit = toWire(permit_subject(server.id.text()), *limit, now);
     if (!m_agents.hasAny()) {
-        const auto least = permit_issuer::options {}.leastPerSecond;
+        const auto least = permit_issuer::options {}.minPerSecond;
         request.limit.perSecond = std::max(request.limit.perSecond, least) / m_gateways;
         m_ownDesk.receiveRequest({}, request);
         return;
--- a/coltsfootbend/permits/permit_issuer.cpp
+++ b/coltsfootbend/permits/permit_issuer.cpp
@@ -16,14 +16,14 @@
 
 duration permit_issuer::interval(const limit_statement& statement) const
 {
-    return fromMilliseconds(1000 / std::max(statement.perSecond, m_options.leastPerSecond));
+    return fromMilliseconds(1000 / std::max(statement.perSecond, m_options.minPerSecond));
 }
 
 bool permit_issuer::receiveStatement(const permit_subject& subject, const limit_statement& statement, time_point now)
 {
     const auto [found, isNewServer] = m_subjects.try_emplace(subject);
     auto& state = found->second;
-    if (!isNewServer && !state.statement.isOverruledBy(statement))
+    if (!isNewServer && !state.statement.isSupersededBy(statement))
         return false;
     const bool wasNamed = !isNewServer && state.statement.isNamed && state.statement.life == statement.life;
     const auto life = std::max(state.statement.life, statement.life);
@@ -61,7 +61,7 @@
         return;
     auto& state = found->second;
     state.lastReferencedAt = now;
-    if (m_options.drawSeed && state.requests.empty() && dueAt(state) <= now) {
+    if (m_options.delaySeed && state.requests.empty() && dueAt(state) <= now) {
         const auto delayMs
             = std::uniform_real_distribution<double>()(m_random) * toMilliseconds(interval(state.statement));
         state.lastPermitAt = now + fromMilliseconds(delayMs) - interval(state.statement);
--- a/coltsfootbend/permits/permit_issuer.h
+++ b/coltsfootbend/permits/permit_issuer.h
@@ -33,7 +33,7 @@
 
     // Returns whether `other` replaces this statement: a later incarnation replaces an earlier one, and within an
     // incarnation the newer statement replaces the older one.
-    bool isOverruledBy(const limit_statement& other) const
+    bool isSupersededBy(const limit_statement& other) const
     {
         const bool isSameIncarnation = life == other.life || life == 0 || other.life == 0;
         return isSameIncarnation ? other.at >= at : other.life > life;
@@ -46,7 +46,7 @@
     struct options {
         // Minimum permits per second for a server that accepts fewer requests or none. Without these requests, no
         // gateway would receive a higher limit from the server.
-        double leastPerSecond = 0.2;
+        double minPerSecond = 0.2;
         // How long a permit request is valid. A gateway that still needs the permit repeats its request within this
         // time.
         duration requestTimeout = std::chrono::milliseconds(1200);
@@ -57,7 +57,7 @@
         // Seed of the random delay of a permit after an idle time. Set where many processes issue a share of the rate
         // each, since no process receives all requests: without the delay, all idle issuers would issue a permit at the
         // same moment. None means no delay.
-        std::optional<std::uint32_t> drawSeed;
+        std::optional<std::uint32_t> delaySeed;
         // How long the end of a limit is reported to the other processes.
         duration endReportedFor = std::chrono::seconds(5);
     };
@@ -80,7 +80,7 @@
     }
     explicit permit_issuer(const options& options)
         : m_options(options)
-        , m_random(options.drawSeed.value_or(0))
+        , m_random(options.delaySeed.value_or(0))
     {
     }
 
