--- a/coltsfootbend/gateway/backend_notices.cpp
+++ b/coltsfootbend/gateway/backend_notices.cpp
@@ -62,11 +62,12 @@
 {
     const auto life = state.life.number();
     if (notice.requestsPerSecond)
-        return takeLimit(state, { .life = life, .perSecond = *notice.requestsPerSecond, .isNamed = true, .at = now });
+        return takeLimit(
+            state, { .serverIncarnation = life, .perSecond = *notice.requestsPerSecond, .isNamed = true, .at = now });
     // Answers overtake each other: only one to a later request shows that the server names no limit any more.
     if (!notice.endsLimit || !state.limit.isNamed || sentAt <= state.limit.at)
         return {};
-    return takeLimit(state, { .life = life, .perSecond = 0, .isNamed = false, .at = now });
+    return takeLimit(state, { .serverIncarnation = life, .perSecond = 0, .isNamed = false, .at = now });
 }
 
 std::string backend_notices::hearAnswer(
@@ -88,7 +89,7 @@
 
 std::string backend_notices::hearOthers(const backend_id& id, const limit_statement& limit, time_point now)
 {
-    auto* state = enterLife(id, backend_life(limit.life));
+    auto* state = enterLife(id, backend_life(limit.serverIncarnation));
     if (!state)
         return {};
     state->heardAt = now;
--- a/coltsfootbend/permits/permit_issuer.cpp
+++ b/coltsfootbend/permits/permit_issuer.cpp
@@ -25,10 +25,11 @@
     auto& state = found->second;
     if (!isNewServer && !state.statement.isSupersededBy(statement))
         return false;
-    const bool wasNamed = !isNewServer && state.statement.isNamed && state.statement.life == statement.life;
-    const auto life = std::max(state.statement.life, statement.life);
+    const bool wasNamed
+        = !isNewServer && state.statement.isNamed && state.statement.serverIncarnation == statement.serverIncarnation;
+    const auto serverIncarnation = std::max(state.statement.serverIncarnation, statement.serverIncarnation);
     state.statement = statement;
-    state.statement.life = life;
+    state.statement.serverIncarnation = serverIncarnation;
     state.lastReferencedAt = now;
     if (!statement.isNamed)
         state.requests.clear();
--- a/coltsfootbend/permits/permit_issuer.h
+++ b/coltsfootbend/permits/permit_issuer.h
@@ -5,7 +5,7 @@
 // so that idle or restarted gateways never raise the rate above the limit. Deterministic; does not communicate with
 // gateways: see `permits/permit_service.h`.
 //
-//     issuer.receiveStatement(server, { .life = 7, .perSecond = 1.5, .isNamed = true, .at = receivedAt }, now);
+//     issuer.receiveStatement(server, { .perSecond = 1.5, .isNamed = true, .at = receivedAt }, now);
 //     issuer.requestPermit(server, gateway, serial, now);
 //     for (const auto& permit : issuer.issue(now)) ...
 
@@ -26,7 +26,7 @@
 
 // A backend server's statement of the request rate that it accepts.
 struct limit_statement {
-    std::uint64_t life = 0; // Incarnation of the server; 0 if unknown.
+    std::uint64_t serverIncarnation = 0; // Incarnation of the server; 0 if unknown.
     double perSecond = 0; // Accepted requests per second.
     bool isNamed = false; // False if the server no longer states a limit.
     time_point at {}; // When a gateway received it.
@@ -35,8 +35,9 @@
     // incarnation the newer statement replaces the older one.
     bool isSupersededBy(const limit_statement& other) const
     {
-        const bool isSameIncarnation = life == other.life || life == 0 || other.life == 0;
-        return isSameIncarnation ? other.at >= at : other.life > life;
+        const bool isSameIncarnation
+            = serverIncarnation == other.serverIncarnation || serverIncarnation == 0 || other.serverIncarnation == 0;
+        return isSameIncarnation ? other.at >= at : other.serverIncarnation > serverIncarnation;
     }
 };
 
--- a/coltsfootbend/permits/permit_issuer_test.cpp
+++ b/coltsfootbend/permits/permit_issuer_test.cpp
@@ -16,9 +16,9 @@
 
 permit_requester gateway(int number) { return permit_requester("g" + std::to_string(number)); }
 
-limit_statement named(double perSecond, time_point at, std::uint64_t life = 0)
+limit_statement named(double perSecond, time_point at, std::uint64_t incarnation = 0)
 {
-    return { .life = life, .perSecond = perSecond, .isNamed = true, .at = at };
+    return { .serverIncarnation = incarnation, .perSecond = perSecond, .isNamed = true, .at = at };
 }
 
 // Checks that gateways which request permits continuously never receive more than the server accepts, whatever their
@@ -101,9 +101,11 @@
 {
     permit_issuer issuer;
     EXPECT_TRUE(issuer.receiveStatement(server, named(1, start + 2s, 7), start + 2s));
-    EXPECT_FALSE(issuer.receiveStatement(server, { .life = 7, .isNamed = false, .at = start + 1s }, start + 3s))
+    EXPECT_FALSE(
+        issuer.receiveStatement(server, { .serverIncarnation = 7, .isNamed = false, .at = start + 1s }, start + 3s))
         << "an older statement that arrives late";
-    EXPECT_TRUE(issuer.receiveStatement(server, { .life = 7, .isNamed = false, .at = start + 3s }, start + 3s));
+    EXPECT_TRUE(
+        issuer.receiveStatement(server, { .serverIncarnation = 7, .isNamed = false, .at = start + 3s }, start + 3s));
     issuer.requestPermit(server, gateway(1), 1, start + 3s);
     EXPECT_TRUE(issuer.issue(start + 9s).empty()) << "the server states no limit any more";
     EXPECT_FALSE(issuer.receiveStatement(server, named(1, start + 4s, 6), start + 4s)) << "an earlier incarnation";
