--- a/coltsfootbend/limits/patience_tracker.h
+++ b/coltsfootbend/limits/patience_tracker.h
@@ -17,9 +17,9 @@
 // Estimates for each route how long its callers wait.
 class patience_tracker {
 public:
-    // Returns whether the caller has been refused before. `timeLeft` is the remaining time that the caller states, and
-    // `timeout` is that of the route, a lower bound of the callers' usual timeout until `minCallersSeen` of them were
-    // seen. O(log routes).
+    // Returns whether the caller was probably refused before. `timeLeft` is the remaining time that the caller states,
+    // and `timeout` is that of the route, a lower bound of the callers' usual timeout until `minCallersSeen` of them
+    // were seen. O(log routes).
     bool isReturning(const std::string& route, duration timeLeft, duration timeout)
     {
         auto& known = m_routes[route];
--- a/coltsfootbend/permits/permit_issuer.h
+++ b/coltsfootbend/permits/permit_issuer.h
@@ -102,7 +102,7 @@
     // Estimates when a gateway's permit will be issued.
     wait_estimate estimateWait(const permit_subject&, const permit_requester&, time_point now) const;
 
-    // Removes the servers and gateways that no message has referred to within the retention.
+    // Removes the servers and gateways to which no message has referred within `statementRetention`.
     void expire(time_point now);
 
 private:
--- a/coltsfootbend/quarantine/crash_history.h
+++ b/coltsfootbend/quarantine/crash_history.h
@@ -7,7 +7,7 @@
 // Deterministic. Does not detect crashes: see `gateway/crash_detector.h`.
 //
 //     crash_history history;
-//     history.add({ { .request = fingerprint, .server = life, .at = now } }, now);
+//     history.add({ { .request = fingerprint, .server = incarnation, .at = now } }, now);
 //     if (const auto until = history.refusedUntil(fingerprint, now)) // refuse the request
 
 #include "coltsfootbend/base/time.h"
--- a/coltsfootbend/quarantine/request_fingerprint.h
+++ b/coltsfootbend/quarantine/request_fingerprint.h
@@ -3,8 +3,8 @@
 // Identifies a request by its content: attempts with the same method, host, target, caller and body have the same
 // fingerprint, whatever their ids, deadlines and entry VMs are. Does not distinguish attempts, and is not secret.
 //
-//     const auto fingerprint = fingerprintOf({ .method = "POST", .host = "h", .target = "/p", .caller = "c", .body = b
-//     });
+//     const auto fingerprint
+//         = fingerprintOf({ .method = "POST", .host = "h", .target = "/p", .caller = "c", .body = b });
 
 #include "coltsfootbend/base/id.h"
 
