--- a/coltsfootbend/group/agent_channel.cpp
+++ b/coltsfootbend/group/agent_channel.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// An agent that did not answer is left alone for this long, and its engine is asked from here.
+// Time for which the engine is called directly after its agent did not answer.
 constexpr std::chrono::milliseconds agentPause { 1000 };
-// A rank of another group is asked this often whether it has joined this one, while ranks are missing here: without it
-// a rank that had told of another group once was never asked again, and its new group made no change any more. Well
-// below the seconds for which a group that lacks a rank stands anyway.
+// Interval at which a rank that reported another group is asked again while this group is incomplete. Without repeating
+// the question, a rank that has moved to this group is never found and the group makes no more map changes. Well below
+// the seconds for which a group without one of its ranks is stalled anyway.
 constexpr std::chrono::milliseconds otherGroupPause { 500 };
 
 wire::body bodyOf(const wire::rank_order& order)
@@ -46,7 +46,7 @@
     const auto* told = std::get_if<wire::problem>(&reply->content);
     if (told && told->kind == static_cast<std::uint32_t>(error_kind::NotFound))
         noteGroup("");
-    return fail(error_kind::Unavailable, told ? told->message : "the agent gave no state", "Look at its log");
+    return fail(error_kind::Unavailable, told ? told->message : "the agent returned no state", "Check the agent's log");
 }
 
 result<void> agent_channel::hold(group_epoch epoch, pass_number step, time_point deadline)
@@ -86,7 +86,7 @@
     const auto* query = std::get_if<wire::rank_query>(&asked);
     if (!query)
         return m_direct.answer(asked, deadline);
-    // Counts read from afar slow the group down; the other ranks' counts are enough.
+    // Reading demand counts from another VM slows the group down, and the counts of the other ranks are sufficient.
     auto reduced = *query;
     reduced.wantsDemand = false;
     return m_direct.answer(reduced, deadline);
--- a/coltsfootbend/group/agent_channel.h
+++ b/coltsfootbend/group/agent_channel.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Reaches a rank through its agent, to which everything is free, or its engine itself while the agent is silent, at the
-// platform's price. Remembers to which group the rank belonged when it last told. Not for many ranks at once: see
-// `group/rank_channel.h`.
+// Sends orders to one rank through its agent, which may call its engine free of charge. While the agent is
+// unresponsive, calls the engine directly from this VM, at the platform's price per call. Remembers the group that the
+// rank last reported. Not for sending one order to many ranks: see `group/rank_channel.h`.
 //
 //     agent_channel channel(runtime, peers, agentAddress, std::move(engine));
 //     auto state = channel.ask(query, deadline);
@@ -25,11 +25,11 @@
     bool isAskedDirectly() const override { return clock_type::now() < m_agentSilentUntil; }
     void noteRelayed(const result<wire::rank_state>&) override;
 
-    // Of the rank's VM, by the number that the leader gives it.
+    // Sets the data centre of the rank's VM, numbered by the leader.
     void setDataCentre(std::uint32_t number) { m_dataCentre = number; }
 
-    // False while the rank is known to belong to another group, or to none. Where ranks of `group` are missing it may
-    // have joined since, and is asked again after a while.
+    // Returns false while the rank is known to belong to another group, or to none. While `group` is incomplete, the
+    // rank may have joined it since, so this returns true again after a pause.
     bool mayBelongTo(const std::string& group, bool isComplete, time_point now) const;
 
 private:
--- a/coltsfootbend/group/load_subscribers.cpp
+++ b/coltsfootbend/group/load_subscribers.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// One may be frozen or refused by the store.
+// Gateways per data centre that follow the store. One of them may be stalled or denied by the store.
 constexpr std::size_t followersPerDataCentre = 2;
 
 } // namespace
@@ -23,8 +23,9 @@
     std::erase_if(m_subscribers, [now](const auto& entry) { return entry.second.until < now; });
 }
 
-// One that knows as much as anybody, so that it is not a step behind as well; of the same data centre if there is one.
-// Another one each time, for the first may be out of reach, and those who have read the news help to spread them.
+// Returns only a gateway that the store serves, or one that has the newest known revision of both tables, so that it is
+// not itself behind. Prefers the requester's data centre. Chooses at random, because one gateway may be unreachable and
+// so that all up-to-date gateways share the load.
 const endpoint* load_subscribers::findInformed(const subscriber& asker)
 {
     const auto knowsMore = [&](const subscriber& candidate) {
@@ -77,8 +78,10 @@
     return found;
 }
 
-// Two of each data centre, which may be cut off from the others, the first of all by address as well asks for all. Who
-// rests goes on to do so while one of its data centre is served: the end of a follower is no reason for all to ask.
+// Two gateways of each data centre follow the store, because a data centre may be cut off from the others. The first of
+// these by address also checks the store in between, on behalf of all. A gateway that does not read the store starts
+// only if the store serves no gateway of its data centre; otherwise the end of one follower would make all gateways
+// read the store at once.
 std::map<endpoint, wire::store_duty> load_subscribers::duties() const
 {
     std::map<std::string, std::size_t> served;
--- a/coltsfootbend/group/load_subscribers.h
+++ b/coltsfootbend/group/load_subscribers.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The gateways that a rank agent tells its engine's load, and what each of them knows of the deployment: who knows more
-// than another, when the store was last heard by any of them, and who of them follows it for all. Takes the time and
-// decides; sends nothing itself.
+// The gateways that subscribe to the load of a rank agent's engine, and what each of them knows of the deployment.
+// Determines which gateways have newer tables than others, when any gateway last confirmed a table with the store, and
+// which gateways poll the store on behalf of all. Takes the time as an argument and sends nothing itself.
 //
-//     subscribers.hear(address, knowledge, now + length, now);
+//     subscribers.subscribe(address, knowledge, now + lifetime, now);
 //     for (const auto& [address, gateway] : subscribers.all()) ...
 
 #include "coltsfootbend/base/time.h"
@@ -22,7 +22,7 @@
     struct subscriber {
         time_point until {};
         time_point heardAt {};
-        wire::deployment_knowledge knows; // As of `heardAt`.
+        wire::deployment_knowledge knows; // As of `receivedAt`.
     };
 
     explicit load_subscribers(std::uint32_t seed)
@@ -30,19 +30,21 @@
     {
     }
 
+    // Adds the gateway, or renews its subscription, until `expiresAt`.
     void hear(const endpoint&, wire::deployment_knowledge, time_point until, time_point now);
+    // Removes subscriptions that have expired.
     void expire(time_point now);
     const std::map<endpoint, subscriber>& all() const { return m_subscribers; }
 
-    // A gateway that knows more of the deployment than `asker`, or null.
+    // Returns the address of a gateway that has a newer table of the deployment than `requester`, or null.
     const endpoint* findInformed(const subscriber& asker);
 
-    // The youngest confirmation of a table by any gateway, aged until `now`.
+    // Return the most recent confirmation of a table by any gateway, with its age as of `now`.
     wire::store_confirmation configuration(time_point now) const;
     wire::store_confirmation servers(time_point now) const;
 
-    // Who follows the store, who asks it in between, and who rests. All agents that hear the same gateways say the
-    // same. O(gateways).
+    // Returns which gateways follow the store, which one also checks it in between, and which ones do not read it. All
+    // agents with the same subscribers return the same. O(gateways).
     std::map<endpoint, wire::store_duty> duties() const;
 
 private:
--- a/coltsfootbend/group/load_subscribers_test.cpp
+++ b/coltsfootbend/group/load_subscribers_test.cpp
@@ -17,7 +17,7 @@
     return { .configuration = { revision, ageMs }, .servers = { 7, ageMs }, .isServed = isServed, .dataCentre = "a" };
 }
 
-TEST(LoadSubscribers, TheYoungestConfirmationGrowsOlderWithTime)
+TEST(LoadSubscribers, NewestConfirmationAgesWithTime)
 {
     load_subscribers subscribers(1);
     EXPECT_EQ(subscribers.configuration(start).ageMs, wire::store_confirmation::never);
@@ -31,7 +31,7 @@
     EXPECT_EQ(subscribers.configuration(start + 1s).revision, 5U);
 }
 
-TEST(LoadSubscribers, TheFirstGatewayThatIsServedAsksTheStoreForAll)
+TEST(LoadSubscribers, FirstServedGatewayChecksTheStoreForAll)
 {
     load_subscribers subscribers(1);
     EXPECT_TRUE(subscribers.duties().empty());
@@ -44,7 +44,7 @@
     EXPECT_EQ(subscribers.duties().at(third), wire::store_duty::Check);
 }
 
-TEST(LoadSubscribers, TwoOfEachDataCentreFollowTheStoreAndTheOthersRest)
+TEST(LoadSubscribers, TwoGatewaysPerDataCentreFollowTheStoreAndTheOthersBackOff)
 {
     load_subscribers subscribers(1);
     const endpoint far { "10.0.0.9", 7000 };
@@ -58,8 +58,8 @@
     EXPECT_EQ(subscribers.duties().at(far), wire::store_duty::Follow);
 }
 
-// The end of one follower would else make all others ask the store at the same moment.
-TEST(LoadSubscribers, WhoRestsGoesOnToWhileOneOfItsDataCentreIsServed)
+// If the end of a follower ended the backoff of the other gateways, all of them would read the store at the same time.
+TEST(LoadSubscribers, GatewayBacksOffWhileAnotherOfItsDataCentreIsServed)
 {
     load_subscribers subscribers(1);
     subscribers.hear(first, knowing(5, 0, false), start + 9s, start);
@@ -69,7 +69,7 @@
     EXPECT_EQ(subscribers.duties().at(first), wire::store_duty::Follow);
 }
 
-TEST(LoadSubscribers, WhoKnowsMoreIsServedAndOfTheSameDataCentreIfThereIsOne)
+TEST(LoadSubscribers, NewerSourceIsServedAndInTheSameDataCentreIfPossible)
 {
     load_subscribers subscribers(1);
     subscribers.hear(first, knowing(5, 0), start + 3s, start);
@@ -81,7 +81,7 @@
     EXPECT_EQ(*subscribers.findInformed(asker), second);
     subscribers.hear(third, knowing(6, 0), start + 3s, start);
     EXPECT_EQ(*subscribers.findInformed(asker), third);
-    // One that rests helps to spread news that are the newest, and no older ones.
+    // A gateway that does not read the store is returned only if it has the newest tables.
     subscribers.hear(third, knowing(6, 0, false), start + 3s, start);
     EXPECT_EQ(*subscribers.findInformed(asker), third);
     far.configuration.revision = 7;
--- a/coltsfootbend/group/map_participant.cpp
+++ b/coltsfootbend/group/map_participant.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The map in use, and one that was prepared and given up since.
+// Number of maps kept as a base for changes: the map in use, the next one, and one that was prepared but abandoned.
 constexpr std::size_t keptMaps = 3;
 
 const wire::order_scope& scopeOf(const wire::rank_order& asked)
@@ -71,8 +71,9 @@
     return {};
 }
 
-// A term names its leader by rank, so in another group it would name somebody else: with it a rank that had joined was
-// taken for the leader of its new group, and both groups had a leader of one term.
+// The term does not carry over, because it identifies its leader by rank number and would identify another process in
+// the new group. A rank that kept its term would regard itself as the leader of its new group if the rank numbers
+// match.
 void map_participant::enterGroup(const std::string& group)
 {
     if (group == m_group)
@@ -146,17 +147,17 @@
 {
     const auto demand = m_engine.demand(deadline);
     if (!demand)
-        return; // The leader goes by the other ranks; the next answer includes what is missing here.
+        return; // The leader uses the counts of other ranks, and the next answer includes the missing counts.
     const auto& counts = demand->counts;
     constexpr std::uint64_t most = std::numeric_limits<std::uint32_t>::max();
-    // Without former counts nothing says when these were made: an agent that was just started would report the demand
-    // of the engine's whole life as that of this moment.
+    // Without earlier counts there is no difference to report: a newly started agent would report the demand since the
+    // start of the engine as current demand.
     if (counts.size() != m_lastCounts.size()) {
         m_lastCounts = counts;
         m_lastCountsLife = demand->life;
         return;
     }
-    // Counts of another life, or that fall, show that the engine was started anew: all of them were made since.
+    // Counts of another incarnation, or that decrease, show that the engine was restarted: all of them are new.
     bool isContinued = demand->life == m_lastCountsLife;
     for (std::size_t i = 0; isContinued && i < counts.size(); ++i)
         isContinued = counts[i] >= m_lastCounts[i];
@@ -179,7 +180,7 @@
 
 result<wire::rank_state> map_participant::answer(const wire::rank_order& asked, time_point deadline)
 {
-    // Only a fresh report tells of which formation the rank is.
+    // Only a fresh report shows the formation that the rank belongs to.
     auto now = look(deadline);
     if (!now || !isAddressed(asked, *now) || !obeys(scopeOf(asked).term))
         return now;
@@ -197,7 +198,8 @@
     return release(std::get<wire::rank_release>(asked), deadline);
 }
 
-// A leader that asks may not have heard of the rank's latest formation; one that orders has.
+// A query needs to match only the group, because the leader may not know the rank's latest formation yet. All other
+// orders must name the formation.
 bool map_participant::isAddressed(const wire::rank_order& asked, const wire::rank_state& state) const
 {
     const auto& scope = scopeOf(asked);
--- a/coltsfootbend/group/map_participant.h
+++ b/coltsfootbend/group/map_participant.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// One rank's part in the changes of its group's map: tells its state, and carries out what the leader with the highest
-// term asks. An older leader that wakes up gets nothing done any more. Not for deciding on changes: see
-// `group/map_leader.h`.
+// One rank's part in the changes of its group's expert map: reports the rank's state, and carries out orders of the
+// leader with the highest term. Orders of an earlier leader that resumes after a stall have no effect. Not for deciding
+// on changes: see `group/map_leader.h`.
 //
 //     map_participant participant(runtime, engine);
-//     wire::rank_state state = *participant.answer(asked, deadline);
+//     wire::rank_state state = *participant.answer(order, deadline);
 
 #include "coltsfootbend/group/leader_term.h"
 #include "coltsfootbend/group/rank_orders.h"
@@ -24,27 +24,27 @@
     {
     }
 
-    // Answers with the state of the rank afterwards, and with the highest term seen. Nothing was done when that is
-    // above the asker's, or when the state is not of the formation that the order names. Fails when the engine does not
-    // tell its state.
+    // Carries out `order` and returns the state of the rank afterwards, with the highest term received. Nothing was
+    // done if that term is above the order's, or if the state is not of the formation that the order names. Fails if
+    // the engine does not report its state.
     result<wire::rank_state> answer(const wire::rank_order& asked, time_point deadline);
 
-    // What the engine has just told, also when nobody asks.
+    // Takes in a report of the engine that was read independently of any order.
     void observe(const rank_report&);
 
-    // Of the group that the engine belongs to; none in a group that it has just joined.
+    // Highest term received in the engine's group; 0 in a group that it has just joined.
     leader_term term() const { return m_term; }
-    // The group that the engine belongs to; empty while that is not known.
+    // Group that the engine belongs to; empty while unknown.
     const std::string& group() const { return m_group; }
-    // When a leader was last heard.
+    // Time of the last message from a current leader; also reset when the engine joins another group.
     time_point heardAt() const { return m_heardAt; }
-    // True while a switch is ordered that the leader has yet to let happen.
+    // True from the order to arm a switch until the leader releases the pass.
     bool isArmed() const { return m_isArmed; }
-    // True while a map is prepared that is not in use yet: the leader is in the middle of a change.
+    // True while a map is prepared but not yet in use, so that a change is in progress.
     bool isPrepared() const { return m_isPrepared; }
-    // Takes the lead with a term that nobody has had.
+    // Makes this rank the leader and returns its new term, which is above all terms received.
     leader_term claim(rank_number rank);
-    // Somebody leads with `term`, as another rank tells.
+    // Takes in the term of a leader, as reported by another rank.
     void yield(leader_term term) { (void)obeys(term); }
 
 private:
@@ -53,18 +53,19 @@
     result<wire::rank_state> arm(const wire::rank_arm&, time_point deadline);
     result<wire::rank_state> disarm(const wire::rank_disarm&, time_point deadline);
     result<wire::rank_state> release(const wire::rank_release&, time_point deadline);
-    // The whole map that is offered; none when it builds on one that is not known here.
+    // Returns the whole map of the order; none if the order lists changes to a map that is not known here.
     std::optional<group_map> offeredMap(const wire::rank_prepare&);
+    // Returns false for a term below the highest one received; otherwise records the term and the time.
     bool obeys(leader_term term);
-    // False for an order that came after one that followed it.
+    // Returns false for an order that was issued before one already received; otherwise records its serial number.
     bool isInOrder(const wire::order_scope&);
-    // False once a newer leader, or a newer order of the same one, was seen.
+    // Returns false once a newer leader, or a newer order of the same leader, has been received.
     bool isCurrent(const wire::order_scope&) const;
     bool isAddressed(const wire::rank_order&, const wire::rank_state&) const;
     group_formation formationOf(const wire::order_scope&) const;
-    // Forgets what belongs to another group.
+    // Discards state that belongs to another group.
     void enterGroup(const std::string& group);
-    // Forgets what belongs to a former life of the engine. Fails with `Stale` when `life` itself is a former one.
+    // Discards state of an earlier incarnation of the engine. Fails with `Stale` if the argument is an earlier one.
     result<void> enterLife(engine_life life);
     result<wire::rank_state> stateOf(const rank_report&);
     result<wire::rank_state> look(time_point deadline);
@@ -75,19 +76,20 @@
     rank_orders m_orders;
     std::string m_group;
     leader_term m_term = 0;
-    // The newest order seen.
+    // Newest order received: the leader's run, and the order's serial number in it.
     std::uint64_t m_leaderRun = 0;
     std::uint64_t m_lastSerial = 0;
     time_point m_heardAt {};
     bool m_isArmed = false;
     bool m_isPrepared = false;
-    // The last map that was ordered to be prepared, and in which term.
+    // Last map that was ordered to be prepared, and the term of that order.
     engine_map_version m_preparedVersion = 0;
     leader_term m_preparedTerm = 0;
     engine_life m_life;
+    // Demand counts at the last answer, and the engine's incarnation then.
     std::vector<std::uint64_t> m_lastCounts;
     engine_life m_lastCountsLife;
-    // The maps that were offered last, newest first.
+    // Maps of the last orders to prepare, newest first; later orders may list only changes to one of them.
     struct known_map {
         group_formation formation;
         engine_map_version version = 0;
--- a/coltsfootbend/group/map_participant_test.cpp
+++ b/coltsfootbend/group/map_participant_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-// An engine that tells what it is set to, and takes every order.
+// An engine that returns a report set by the test, and accepts every order without carrying it out.
 class told_engine final : public rank_engine {
 public:
     result<rank_report> report(time_point) override { return told; }
@@ -53,7 +53,7 @@
     }).join();
 }
 
-// Of the formation in which `told_engine` is.
+// Returns the scope of an order to the formation that `told_engine` reports at first.
 wire::order_scope scope(leader_term term) { return { .term = term, .group = "g", .epoch = 1 }; }
 
 std::vector<std::uint32_t> askDemand(map_participant& participant, leader_term term)
@@ -62,17 +62,17 @@
     return participant.answer(query, clock_type::now() + 1s)->demand;
 }
 
-TEST(MapParticipant, TheDemandOfTheEnginesFormerLifeIsNotToldAsNew)
+TEST(MapParticipant, DemandCountedBeforeTheFirstAnswerIsNotReported)
 {
     withParticipant([](map_participant& participant, told_engine& engine) {
         engine.counts = { 1000, 5 };
-        EXPECT_TRUE(askDemand(participant, 1).empty()) << "nothing says when these were counted";
+        EXPECT_TRUE(askDemand(participant, 1).empty()) << "there are no earlier counts to compare with";
         engine.counts = { 1010, 25 };
         EXPECT_EQ(askDemand(participant, 1), (std::vector<std::uint32_t> { 10, 20 }));
     });
 }
 
-TEST(MapParticipant, CountsThatFallAreThoseOfANewEngine)
+TEST(MapParticipant, DecreasingCountsIndicateARestartedEngine)
 {
     withParticipant([](map_participant& participant, told_engine& engine) {
         engine.counts = { 1000, 5 };
@@ -82,7 +82,7 @@
     });
 }
 
-TEST(MapParticipant, AnOlderLeaderGetsNothingDone)
+TEST(MapParticipant, OrderOfAnEarlierLeaderIsNotCarriedOut)
 {
     withParticipant([](map_participant& participant, told_engine& engine) {
         const auto newer = termAfter(0, 3);
@@ -95,9 +95,9 @@
     });
 }
 
-// Two groups formed anew at the same moment had both reached epoch 2. A rank that had changed sides was armed by the
-// leader of the group that it had left, and the next pass of the other began with two maps.
-TEST(MapParticipant, AnOrderForAnotherGroupEpochOrLifeIsNotCarriedOut)
+// Two groups may have the same epoch number. If a rank that has moved between them accepts an order to arm from the
+// leader of its earlier group, the next pass of its new group begins with two different maps.
+TEST(MapParticipant, OrderForAnotherGroupEpochOrIncarnationIsNotCarriedOut)
 {
     withParticipant([](map_participant& participant, told_engine& engine) {
         engine.told.life = engine_life(5);
@@ -110,7 +110,7 @@
         for (const auto& wrong : { otherGroup, otherEpoch, otherLife }) {
             const auto state = participant.answer(
                 wire::rank_arm { .scope = wrong, .version = 7, .step = 100 }, clock_type::now() + 60ms);
-            ASSERT_TRUE(state) << "the leader is told of which formation the rank is";
+            ASSERT_TRUE(state) << "the answer reports the rank's formation";
             EXPECT_EQ(state->group, "g");
             EXPECT_EQ(state->armedVersion, 0U);
             wire::rank_prepare prepare { .scope = wrong, .version = 7, .map = { { { 0 }, { 1 }, { 2 }, { 3 } } } };
@@ -125,8 +125,9 @@
     });
 }
 
-// An agent that stood still hands on what it had taken when it wakes; meanwhile the leader had gone round it.
-TEST(MapParticipant, AnOrderThatComesAfterOneThatFollowedItIsNotCarriedOut)
+// An agent that resumes after a stall relays orders that it accepted before, while the leader has bypassed it with
+// newer orders.
+TEST(MapParticipant, OrderReceivedAfterALaterOneIsNotCarriedOut)
 {
     withParticipant([](map_participant& participant, told_engine& engine) {
         const auto numbered = [](std::uint64_t run, std::uint64_t serial) {
@@ -142,14 +143,14 @@
             return engine.orders > 0;
         };
         EXPECT_TRUE(armAt(numbered(9, 4)));
-        EXPECT_TRUE(armAt(numbered(9, 4))) << "a copy of the same order is that order";
+        EXPECT_TRUE(armAt(numbered(9, 4))) << "a duplicate of the newest order";
         EXPECT_TRUE(armAt(numbered(9, 6)));
         EXPECT_FALSE(armAt(numbered(9, 4)));
-        EXPECT_TRUE(armAt(numbered(10, 1))) << "the leader's process was started anew";
+        EXPECT_TRUE(armAt(numbered(10, 1))) << "the leader's process was restarted";
     });
 }
 
-TEST(MapParticipant, TheLeaderOfAnotherGroupIsAnsweredAndNotObeyed)
+TEST(MapParticipant, LeaderOfAnotherGroupGetsTheStateButItsTermIsIgnored)
 {
     withParticipant([](map_participant& participant, told_engine&) {
         auto other = scope(termAfter(0, 3));
@@ -161,8 +162,8 @@
     });
 }
 
-// Its term would name whoever has that rank in the new group.
-TEST(MapParticipant, ARankThatJoinsAnotherGroupForgetsItsTerm)
+// In the new group, the term would identify another process: the one with the same rank number.
+TEST(MapParticipant, RankThatJoinsAnotherGroupResetsItsTerm)
 {
     withParticipant([](map_participant& participant, told_engine& engine) {
         (void)askDemand(participant, termAfter(0, 3));
@@ -174,7 +175,7 @@
     });
 }
 
-TEST(MapParticipant, ASwitchThatIsNotConfirmedIsToldAsUncertain)
+TEST(MapParticipant, UnconfirmedSwitchIsReportedAsUncertain)
 {
     withParticipant([](map_participant& participant, told_engine&) {
         const wire::rank_arm arm { .scope = scope(1), .version = 7, .step = 100 };
@@ -186,7 +187,7 @@
     });
 }
 
-TEST(MapParticipant, ARestartedEngineHoldsNothingOfWhatWasOrderedBefore)
+TEST(MapParticipant, RestartedEngineKeepsNoEarlierOrders)
 {
     withParticipant([](map_participant& participant, told_engine& engine) {
         engine.told.life = engine_life(1);
@@ -200,11 +201,11 @@
         EXPECT_FALSE(participant.isArmed());
         EXPECT_EQ(state->life, 2U);
         engine.told.life = engine_life(1);
-        EXPECT_FALSE(participant.answer(query, clock_type::now() + 1s)) << "told before the restart";
+        EXPECT_FALSE(participant.answer(query, clock_type::now() + 1s)) << "a report from before the restart";
     });
 }
 
-TEST(MapParticipant, TheCountsOfARestartedEngineAreAllNewEvenWhereTheyRose)
+TEST(MapParticipant, AllCountsOfARestartedEngineAreNewEvenIfTheyIncreased)
 {
     withParticipant([](map_participant& participant, told_engine& engine) {
         engine.told.life = engine_life(1);
@@ -216,7 +217,7 @@
     });
 }
 
-TEST(MapParticipant, ChangesToAMapThatIsNotKnownAskForTheWholeOne)
+TEST(MapParticipant, ChangesToAnUnknownMapRequestTheWholeMap)
 {
     withParticipant([](map_participant& participant, told_engine& engine) {
         wire::rank_prepare changes;
@@ -239,7 +240,7 @@
     });
 }
 
-TEST(MapParticipant, TermsOrderLeadersAndNameThem)
+TEST(MapParticipant, TermsAreOrderedAndIdentifyTheirLeaders)
 {
     EXPECT_GT(termAfter(termAfter(0, 5), 1), termAfter(0, 5));
     EXPECT_EQ(leaderOf(termAfter(123, 7)), 7U);
--- a/coltsfootbend/group/news_schedule.h
+++ b/coltsfootbend/group/news_schedule.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// How often a rank agent tells gateways of its engine's load. Each gateway hears every engine, so that with thousands
-// of engines news at the usual rate would take most of its processor: beyond some hundreds each engine is heard less
-// often, and a gateway as often as before. What changes the group is told at once. Takes the time and decides.
+// Decides how often a rank agent sends its engine's load to gateways. Each gateway receives updates from every engine,
+// and with thousands of engines, updates at the usual rate would take most of its processor. Beyond a limit of engines,
+// the interval of each engine grows with their number, so that the rate of updates per gateway stays about constant.
+// Changes of the group are sent at once. Takes the time as an argument and sends nothing itself.
 //
 //     if (schedule.isDue(engines, hasChanged, now))
-//         tellLoad(report);
+//         sendLoadUpdate(report);
 
 #include "coltsfootbend/base/time.h"
 
@@ -17,10 +18,11 @@
 class news_schedule {
 public:
     struct options {
+        // Interval between updates up to `engines`.
         duration usual = std::chrono::milliseconds(100);
-        // Gateways believe reports for half as long again.
+        // Longest interval between updates. Gateways use a report for 1.5 times as long.
         duration longest = std::chrono::milliseconds(1000);
-        // That are heard at the usual rate.
+        // Number of engines up to which updates are sent at the usual interval.
         std::size_t engines = 256;
     };
 
@@ -33,8 +35,8 @@
     {
     }
 
-    // Whether to tell now; if so, the next time is counted from here. `engines`: that gateways hear,
-    // this one included; a few too many do no harm.
+    // Returns true if an update is due or urgent; the next interval then starts at `now`. `engines` is the number of
+    // engines that send to the same gateways, this one included; an overestimate only lengthens the interval.
     bool isDue(std::size_t engines, bool isUrgent, time_point now)
     {
         if (now < m_nextAt && !isUrgent)
@@ -43,12 +45,13 @@
         return true;
     }
 
-    // How often gateways hear an engine that is one of so many.
+    // Returns the interval between updates of one engine; zero if each call of `isDue` may send.
     duration intervalFor(std::size_t engines) const
     {
         const auto stretched
             = m_options.usual * static_cast<duration::rep>(engines) / static_cast<duration::rep>(m_options.engines);
-        // The cycle in which this is asked is as long as the usual interval, and a little late each time.
+        // The caller's cycle is as long as the usual interval and always slightly late, so waiting for the usual
+        // interval as well would skip cycles.
         return engines <= m_options.engines ? duration::zero() : std::min(stretched, m_options.longest);
     }
 
--- a/coltsfootbend/group/news_schedule_test.cpp
+++ b/coltsfootbend/group/news_schedule_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-// Of so many engines a gateway hears about this many news a second.
+// Returns the number of updates per second that a gateway receives from this many engines.
 double newsPerSecond(std::size_t engines)
 {
     news_schedule schedule;
@@ -18,21 +18,21 @@
     return static_cast<double>(engines) * told / 60;
 }
 
-// A gateway took news of 3,000 engines, ten a second each, and most of its processor went into them.
-TEST(NewsSchedule, WhatAGatewayHearsDoesNotGrowWithTheNumberOfEngines)
+// With ten updates per second from each of 3,000 engines, a gateway spends most of its processor on updates.
+TEST(NewsSchedule, UpdatesPerGatewayDoNotGrowWithTheNumberOfEngines)
 {
-    EXPECT_NEAR(newsPerSecond(129), 1290, 10) << "as often as ever";
+    EXPECT_NEAR(newsPerSecond(129), 1290, 10) << "at the usual rate";
     EXPECT_LE(newsPerSecond(300), 3000);
     EXPECT_LE(newsPerSecond(1000), 2700);
     EXPECT_LE(newsPerSecond(3000), 3100);
 }
 
-TEST(NewsSchedule, NoEngineIsHeardLessOftenThanItsReportsAreBelieved)
+TEST(NewsSchedule, LongestIntervalIsShorterThanTheValidityOfAReport)
 {
     EXPECT_LE(news_schedule().intervalFor(100'000), 1s);
 }
 
-TEST(NewsSchedule, WhatChangesTheGroupIsToldAtOnce)
+TEST(NewsSchedule, GroupChangesAreSentAtOnce)
 {
     news_schedule schedule;
     const time_point now { 1h };
--- a/coltsfootbend/group/order_relay.cpp
+++ b/coltsfootbend/group/order_relay.cpp
@@ -12,7 +12,7 @@
 
 using target_list = std::vector<wire::relay_target>;
 
-// At most `parts` lists of `targets`, of equal length as far as possible.
+// Appends `targets` to `branches`, split into at most `parts` lists of about equal length.
 void splitEvenly(const target_list& targets, std::size_t parts, std::vector<target_list>& branches)
 {
     parts = std::min(parts, targets.size());
@@ -48,7 +48,7 @@
     return branches;
 }
 
-// Outlives the call: a branch may answer after the others were given up.
+// State of one call of `deliver`. Outlives the call, because a branch may answer after the deadline.
 struct order_relay::delivery {
     delivery(fiber_runtime& runtime, const wire::rank_order& order)
         : order(order)
@@ -86,7 +86,8 @@
     return std::move(round->gathered);
 }
 
-// The first of the branch takes the order for all. One that does not is left out, and the next one takes its place.
+// Sends the order for the whole branch to its first target. If that target does not accept it, the next target takes
+// its place, and the failed one gets no order.
 void order_relay::deliverBranch(delivery& round, const target_list& branch, time_point deadline)
 {
     for (std::size_t first = 0; first < branch.size(); ++first) {
--- a/coltsfootbend/group/order_relay.h
+++ b/coltsfootbend/group/order_relay.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// Hands a leader's order on to many ranks along a tree, and gathers their states on the way back: nobody speaks with
-// more than a few others, whatever the size of the group. The tree follows data centres, so that an order crosses to
-// each of them once. It is drawn anew with each order from the targets that are left, so that no process keeps it, and
-// an agent that does not take an order is gone round at once. Whoever hands an order on adds nothing to it: each rank
-// judges the scope by itself. Not for what is ordered: see `group/map_leader.h`.
+// Relays a leader's order to many ranks along a tree, and gathers their states on the way back. Each process exchanges
+// messages with only a few others, whatever the size of the group. The tree follows data centres, so that an order is
+// sent to each of them once. Each order carries its remaining targets and each hop builds the tree below it from them:
+// no process stores the tree, and an agent that does not accept an order is bypassed at once. Relays do not change the
+// order, and each rank checks its scope independently. Not for the content of orders: see `group/map_leader.h`.
 //
 //     order_relay relay(runtime, transport);
 //     auto answers = relay.deliver(order, targets, deadline);
@@ -21,42 +21,43 @@
 
 namespace coltsfootbend {
 
-// Takes a relayed order to the agent that it is for.
+// Sends relayed orders to agents.
 class relay_transport {
 public:
     virtual ~relay_transport() = default;
-    // Returns what the agent and those below it answered. Fails as soon as the agent is known to be gone or silent, and
-    // at `deadline` at the latest; what was ordered may have been carried out all the same.
+    // Returns the answers of the agent and of those below it in the tree. Fails as soon as the agent is found to be
+    // terminated or unresponsive, and at `deadline` at the latest; the order may have been carried out even so.
     virtual result<wire::relayed_answers> send(const wire::relayed_order&, time_point deadline) = 0;
 };
 
-// What is done time and again while answers are waited for.
+// Callback that is run periodically while a call waits for answers.
 struct rank_beat {
     duration every {};
     std::function<void()> beat;
 };
 
-// States by rank in any order, and counts summed over the ranks.
+// Answers of ranks to one order: their states in any order, and their demand counts summed over the ranks.
 struct gathered_states {
     std::vector<wire::rank_state> states;
     std::vector<std::uint32_t> demand;
 };
 
-// Parts the targets into those that are spoken with directly, which come first in each branch, and those below them:
-// the targets of the first one's data centre in at most `fanOut` branches, and all of another data centre in one.
-// Precondition: the targets of a data centre stand side by side. O(targets).
+// Splits the targets into branches. The first target of each branch receives the order directly and relays it to the
+// rest of the branch. The targets in the first target's data centre form at most `fanOut` branches; so do those in
+// other data centres, where the targets of one data centre stay in one branch. Precondition: targets of the same data
+// centre are adjacent. O(targets).
 std::vector<std::vector<wire::relay_target>> splitTargets(
     const std::vector<wire::relay_target>& targets, std::size_t fanOut);
 
 class order_relay {
 public:
     struct options {
-        // Of one data centre, and of other data centres: a rank speaks with at most twice as many. More make
-        // no change faster, but grow what the leader sends and receives.
+        // Maximum number of branches within the data centre, and again to other data centres. A higher value makes no
+        // change of maps faster, but increases what the leader sends and receives.
         std::size_t fanOut = 3;
-        // An agent that did not take an order is not spoken with for this long.
+        // Time for which an agent that did not accept an order is bypassed.
         duration silentPause = std::chrono::milliseconds(1000);
-        // Kept back at each hop, so that what was gathered comes back in time.
+        // Subtracted from the remaining time at each hop, so that gathered answers return before the deadline.
         duration hopSlack = std::chrono::milliseconds(15);
     };
 
@@ -71,7 +72,7 @@
     {
     }
 
-    // Hands `order` to all targets, and returns once all have answered, at `deadline` at the latest. States of ranks
+    // Sends `order` to all targets, and returns once all have answered, at `deadline` at the latest. States of ranks
     // that did not answer are missing. Blocks the calling fiber.
     gathered_states deliver(
         const wire::rank_order&, const std::vector<wire::relay_target>&, time_point deadline, const rank_beat& = {});
@@ -86,7 +87,7 @@
     fiber_runtime& m_runtime;
     relay_transport& m_transport;
     const options m_options;
-    std::map<std::string, time_point> m_silentUntil; // By host; only those that were silent lately.
+    std::map<std::string, time_point> m_silentUntil; // By host; expired entries are removed.
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/order_relay_test.cpp
+++ b/coltsfootbend/group/order_relay_test.cpp
@@ -16,7 +16,7 @@
 
 using target_list = std::vector<wire::relay_target>;
 
-// Numbered from 0, evenly over the data centres, side by side.
+// Returns targets numbered from 0, split evenly over the data centres, those of one data centre adjacent.
 target_list targetsOf(std::uint32_t ranks, std::uint32_t dataCentres)
 {
     target_list targets;
@@ -25,7 +25,8 @@
     return targets;
 }
 
-// Agents that hand orders on to each other in memory. Some are gone, some take orders and never answer.
+// Agents that relay orders to each other in memory. Agents in `gone` do not accept orders; agents in `dies` terminate
+// after relaying the order, before they answer.
 class model_agents final : public relay_transport {
 public:
     model_agents(fiber_runtime& runtime, std::uint32_t ranks)
@@ -42,12 +43,12 @@
         m_runtime.sleepFor(1ms);
         if (gone.contains(order.own.number)) {
             m_runtime.sleepFor(20ms);
-            return fail(error_kind::TimedOut, "gone");
+            return fail(error_kind::TimedOut, "the agent is unreachable");
         }
         const auto limit = clock_type::now() + std::chrono::milliseconds(order.timeLeftMs);
         auto gathered = m_relay.deliver(order.order, order.others, limit);
         if (dies.contains(order.own.number))
-            return fail(error_kind::Lost, "it died with its answer");
+            return fail(error_kind::Lost, "the agent terminated before its answer");
         wire::rank_state own;
         own.rank = order.own.number;
         own.ranks = m_ranks;
@@ -94,7 +95,7 @@
     return numbers;
 }
 
-RC_GTEST_PROP(OrderRelay, EveryTargetIsInOneBranchAndTheBranchesAreFew, ())
+RC_GTEST_PROP(OrderRelay, EachTargetIsInExactlyOneBranchAndBranchesAreLimited, ())
 {
     const auto ranks = *rc::gen::inRange<std::uint32_t>(0, 300);
     const auto dataCentres = *rc::gen::inRange<std::uint32_t>(1, 12);
@@ -110,7 +111,7 @@
     RC_ASSERT(seen.size() == ranks);
 }
 
-TEST(OrderRelay, AnOrderCrossesOnceToEachOtherDataCentre)
+TEST(OrderRelay, OrderIsSentOnceToEachOtherDataCentre)
 {
     constexpr std::uint32_t dataCentres = 5;
     std::size_t crossing = 0;
@@ -130,13 +131,13 @@
         const auto got = agents.relay().deliver(wire::rank_query {}, targetsOf(ranks, 5), clock_type::now() + 2s);
         EXPECT_EQ(numbersOf(got).size(), std::size_t { ranks });
         EXPECT_EQ(got.demand, (std::vector<std::uint32_t> { ranks, ranks * (ranks - 1) / 2 }));
-        EXPECT_EQ(agents.messages, std::size_t { ranks }) << "each is told once";
+        EXPECT_EQ(agents.messages, std::size_t { ranks }) << "each rank receives the order once";
         for (const auto& state : got.states)
-            EXPECT_EQ(state.life, 1000 + state.target) << "each rank is asked for its own life";
+            EXPECT_EQ(state.life, 1000 + state.target) << "the order names the incarnation of each rank";
     });
 }
 
-TEST(OrderRelay, AgentsThatAreGoneAreGoneRoundInTheSameOrder)
+TEST(OrderRelay, UnreachableAgentsAreBypassedWithinTheSameOrder)
 {
     constexpr std::uint32_t ranks = 63;
     withAgents(ranks, [](model_agents& agents) {
@@ -146,14 +147,14 @@
         const auto begun = clock_type::now();
         const auto got = agents.relay().deliver(wire::rank_query {}, targets, begun + 2s);
         EXPECT_EQ(numbersOf(got).size(), ranks - agents.gone.size());
-        EXPECT_LT(clock_type::now() - begun, 500ms) << "not left to the deadline";
+        EXPECT_LT(clock_type::now() - begun, 500ms) << "does not wait for the deadline";
         agents.messages = 0;
         (void)agents.relay().deliver(wire::rank_query {}, targets, clock_type::now() + 2s);
-        EXPECT_EQ(agents.messages, ranks - agents.gone.size()) << "and are not spoken with again at once";
+        EXPECT_EQ(agents.messages, ranks - agents.gone.size()) << "unreachable agents are not retried at once";
     });
 }
 
-TEST(OrderRelay, ABranchWhoseFirstAgentDiesWithTheAnswerIsAskedByWayOfTheNext)
+TEST(OrderRelay, BranchIsSentToTheNextAgentIfTheFirstTerminatesBeforeItsAnswer)
 {
     constexpr std::uint32_t ranks = 63;
     withAgents(ranks, [](model_agents& agents) {
@@ -164,8 +165,8 @@
     });
 }
 
-// What is told is bounded by the time, also where most are gone.
-TEST(OrderRelay, WhoeverDoesNotAnswerInTimeIsLeftOut)
+// The deadline limits the whole delivery even if no agent is reachable.
+TEST(OrderRelay, RanksThatDoNotAnswerByTheDeadlineAreMissing)
 {
     constexpr std::uint32_t ranks = 40;
     withAgents(ranks, [](model_agents& agents) {
@@ -178,7 +179,7 @@
     });
 }
 
-TEST(OrderRelay, ALongOrderIsAccompaniedByBeats)
+TEST(OrderRelay, HeartbeatsAreSentDuringALongDelivery)
 {
     withAgents(4, [](model_agents& agents) {
         agents.gone = { 0, 1, 2, 3 };
--- a/coltsfootbend/group/rank_agent.cpp
+++ b/coltsfootbend/group/rank_agent.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A rank keeps the maps that its schedule may still need, and one being loaded.
+// Maximum number of maps that a rank keeps: those that its schedule may still need, and one that is being loaded.
 constexpr std::size_t maxLoadedMaps = 4;
 
 } // namespace
@@ -75,8 +75,8 @@
     return map_loaded { m_preparedFor, map };
 }
 
-// A fresh life may have to run steps under maps older than the one it was asked to prepare; those that its engine has
-// left behind are not among them.
+// A new incarnation may have to run steps under earlier maps than the one that it was ordered to prepare. Maps that
+// apply only to steps already granted are skipped.
 void rank_agent::wantNextMap()
 {
     const auto& segments = m_schedule.segments;
@@ -93,7 +93,7 @@
         return switch_refused { message.epoch, m_promised };
     if (message.epoch > m_promised) {
         m_promised = message.epoch;
-        // A limit that stands already is not moved: an earlier coordinator may have been told of it.
+        // An existing limit is not raised, because it may have been reported to an earlier coordinator.
         m_limit = std::min(m_limit, m_granted + (m_joined ? m_options.lead : 0));
     }
     return switch_promised { message.epoch, m_options.life, m_limit, m_schedule };
@@ -101,13 +101,15 @@
 
 std::optional<rank_message> rank_agent::on(const decide_switch& message)
 {
-    // Only the epoch promised last may decide, and only for this very life: a former life's promise is not ours.
+    // Only the last promised epoch may decide, and only for this incarnation, which is not bound by the promises of
+    // earlier incarnations.
     if (message.epoch != m_promised)
         return switch_refused { message.epoch, m_promised };
     if (m_options.rank >= message.incarnations.size() || message.incarnations[m_options.rank] != m_options.life)
         return switch_refused { message.epoch, m_promised };
     m_schedule = message.schedule;
-    // What every engine has left behind is not needed any more; a restarted rank may still be a little behind this one.
+    // Drops segments that no engine needs any more. A restarted rank may be up to `maxGrantAhead` steps behind this
+    // one.
     auto& segments = m_schedule.segments;
     while (segments.size() > 1 && segments[1].from + maxGrantAhead <= m_granted)
         segments.erase(segments.begin());
--- a/coltsfootbend/group/rank_agent.h
+++ b/coltsfootbend/group/rank_agent.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// One rank's part in agreeing on expert maps: it says which steps its engine may run and under which map, and makes and
-// keeps promises to coordinators. In every step all ranks of a group run under the same map, whatever is lost, late,
-// doubled, reordered, restarted or paused: no rank takes a step beyond its promised limit before it knows the decision,
-// and a decision lies beyond every rank's limit. Timing plays no part. Deterministic; not for planning maps.
+// One rank's part in agreeing on expert maps: grants steps to its engine together with the map to run them under, and
+// makes and keeps promises to coordinators. All ranks of a group run each step under the same map, even if messages are
+// lost, late, duplicated or reordered, or processes restart or pause: no rank runs a step beyond its promised limit
+// before it has received the decision, and a decision takes effect beyond the limits of all ranks. Correctness does not
+// depend on timing. Deterministic. Not for planning maps.
 //
-//     rank_agent agent({ .rank = 3, .life = life, .lead = 64 });
+//     rank_agent agent({ .rank = 3, .ownIncarnation = incarnation(7), .promiseMargin = 64 });
 //     if (auto map = agent.grant(step)) engine.run(step, *map);
 //     auto reply = agent.handle(message); // to be sent back, if any
 
@@ -21,35 +22,36 @@
 public:
     struct options {
         rank_number rank = 0;
-        incarnation life;
-        // How many steps beyond those granted a promise still allows; long enough for a decision to arrive.
+        incarnation life; // Of this agent's process.
+        // Number of steps that a promise allows beyond those already granted; long enough for a decision to arrive.
         step_number lead = 64;
-        // The last step that the engine took, or was granted and cannot be stopped from taking, before this life.
+        // Last step that the engine ran, or was granted and may still run, before this incarnation.
         step_number engineAt = 0;
     };
 
+    // Largest number of steps that may be granted beyond the last one that the engine has run.
     static constexpr step_number maxGrantAhead = 1024;
 
     explicit rank_agent(const options&);
 
-    // Returns the map under which the engine may run `step`, and grants it; none when it must wait.
-    // Preconditions: steps are granted in order, and at most `maxGrantAhead` beyond the last that the engine has taken.
+    // Grants `step` and returns the map under which the engine may run it; none if the engine must wait.
+    // Preconditions: steps are granted in order, and at most `maxGrantAhead` beyond the last that the engine has run.
     std::optional<map_version> grant(step_number step);
 
-    // Takes one message of a coordinator and returns the answer, if there is one.
+    // Handles one message of a coordinator and returns the answer, if there is one.
     std::optional<rank_message> handle(const coordinator_message&);
 
-    // Says that the engine has loaded a map. Returns the answer to the coordinator that asked for it, if one did.
+    // Records that the engine has loaded a map. Returns the answer to the coordinator that requested it, if any.
     std::optional<rank_message> loaded(map_version);
 
-    // The map that the engine should load next; none when there is nothing to load.
+    // Map that the engine should load next; none if there is nothing to load.
     std::optional<map_version> wantedMap() const { return m_wanted; }
 
     const map_schedule& schedule() const { return m_schedule; }
     step_number granted() const { return m_granted; }
-    // The last step that may be granted now.
+    // Last step that may be granted now.
     step_number limit() const { return m_limit; }
-    // A fresh life takes part in no step until a decision includes it.
+    // False in a new incarnation until a decision includes it; no step is granted before.
     bool hasJoined() const { return m_joined; }
 
 private:
--- a/coltsfootbend/group/rank_agent_test.cpp
+++ b/coltsfootbend/group/rank_agent_test.cpp
@@ -9,7 +9,7 @@
 const map_version oldMap(1);
 const map_version newMap(2);
 
-// A rank that runs under `oldMap` from step 1 on, decided by epoch 1.
+// Returns an agent that has joined with a decision of epoch 1 to run under `oldMap` from step 1 on.
 rank_agent joinedAgent()
 {
     rank_agent agent({ .rank = 0, .life = life, .lead = 10 });
@@ -24,7 +24,7 @@
     return message && std::holds_alternative<T>(*message);
 }
 
-TEST(RankAgent, AFreshLifeGrantsNothingBeforeADecisionThatIncludesIt)
+TEST(RankAgent, NewIncarnationGrantsNothingBeforeADecisionThatIncludesIt)
 {
     rank_agent agent({ .rank = 0, .life = life });
     (void)agent.loaded(oldMap);
@@ -32,12 +32,12 @@
     ASSERT_TRUE(answers<switch_promised>(agent.handle(propose_switch { { 1, 1 }, oldMap })));
     const map_schedule schedule { { 1, 1 }, { { 1, oldMap } } };
     EXPECT_TRUE(answers<switch_refused>(agent.handle(decide_switch { { 1, 1 }, schedule, { incarnation(4) } })));
-    EXPECT_FALSE(agent.grant(1)) << "that was a former life's decision";
+    EXPECT_FALSE(agent.grant(1)) << "the decision includes an earlier incarnation";
     EXPECT_TRUE(answers<switch_applied>(agent.handle(decide_switch { { 1, 1 }, schedule, { life } })));
     EXPECT_EQ(agent.grant(1), oldMap);
 }
 
-TEST(RankAgent, APromiseHoldsUntilTheDecision)
+TEST(RankAgent, PromiseLimitsGrantsUntilTheDecision)
 {
     auto agent = joinedAgent();
     for (step_number step = 1; step <= 20; ++step)
@@ -52,7 +52,7 @@
     EXPECT_EQ(agent.grant(35), newMap);
 }
 
-TEST(RankAgent, AnOldCoordinatorThatWakesIsRefused)
+TEST(RankAgent, EarlierCoordinatorThatResumesIsRefused)
 {
     auto agent = joinedAgent();
     (void)agent.loaded(newMap);
@@ -63,13 +63,13 @@
     EXPECT_EQ(agent.grant(6), oldMap);
 }
 
-TEST(RankAgent, AReleasedPromiseBindsNoMore)
+TEST(RankAgent, ReleasedPromiseNoLongerLimitsGrants)
 {
     auto agent = joinedAgent();
     (void)agent.loaded(newMap);
     (void)agent.handle(propose_switch { { 2, 1 }, newMap });
     (void)agent.handle(release_promise { { 1, 9 } });
-    EXPECT_FALSE(agent.grant(11)) << "somebody else's release";
+    EXPECT_FALSE(agent.grant(11)) << "the release of another epoch";
     (void)agent.handle(release_promise { { 2, 1 } });
     EXPECT_EQ(agent.grant(11), oldMap);
 }
@@ -84,7 +84,7 @@
     EXPECT_TRUE(answers<switch_promised>(agent.handle(propose_switch { { 2, 1 }, newMap })));
 }
 
-TEST(RankAgent, ARestartedRankLoadsTheMapsThatItsNextStepsNeedAndNoOlderOnes)
+TEST(RankAgent, RestartedRankLoadsOnlyTheMapsThatItsNextStepsNeed)
 {
     rank_agent agent({ .rank = 0, .life = life, .engineAt = 50 });
     (void)agent.loaded(map_version(4));
--- a/coltsfootbend/group/rank_channel.cpp
+++ b/coltsfootbend/group/rank_channel.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// An agent that was missed once is passed over for a while and its engine asked from the leader's VM, which costs the
-// leader a connection each. More than these at once are not single agents that are gone but a branch that was lost on
-// the way, and are asked by way of others again.
+// Maximum number of agents that are marked as unresponsive after one order. The engine of such an agent is called from
+// the leader's VM for a while, which costs the leader one connection each. If more answers are missing at once, a
+// branch of the relay tree was lost rather than single agents, and the next order is relayed to them again.
 constexpr std::size_t mostPassedOver = 8;
-// Both ways end at the same deadline; who is asked directly may be told of a moment later.
+// Time to wait after the deadline for the fiber that collects direct answers, which ends at the same deadline.
 constexpr std::chrono::milliseconds directSlack { 10 };
 
-// The answers outlive the call: a slow rank may answer after the others were given up.
+// Answers to one call of `direct_dispatcher::dispatch`. Outlive the call, because a rank may answer after the deadline.
 struct direct_round {
     explicit direct_round(fiber_runtime& runtime)
         : answered(runtime)
@@ -30,7 +30,8 @@
 
 tl::unexpected<error> notAnswered() { return fail(error_kind::TimedOut, "the rank did not answer", ""); }
 
-// Data centres side by side, that of the first addressee first; the same tree again for the same ranks.
+// Sorts the targets so that those of one data centre are adjacent, with the leader's data centre (number 0) first. The
+// same ranks always give the same tree.
 std::vector<wire::relay_target> inTreeOrder(std::vector<wire::relay_target> targets)
 {
     std::sort(targets.begin(), targets.end(),
@@ -38,11 +39,11 @@
     return targets;
 }
 
-// Who is asked how.
+// The addressees, by the way in which the order is sent to them.
 struct ways_to_ranks {
-    std::vector<wire::relay_target> targets; // By way of others; the number is the place among the addressees.
-    std::vector<addressee> passedOver; // Directly.
-    std::vector<std::size_t> passedOverAt;
+    std::vector<wire::relay_target> targets; // Relayed; the target's number is the index of the addressee.
+    std::vector<addressee> passedOver; // Sent directly.
+    std::vector<std::size_t> passedOverAt; // Their indices among the addressees.
 };
 
 ways_to_ranks waysTo(const std::vector<addressee>& to)
@@ -63,7 +64,7 @@
     return ways;
 }
 
-// Tells the channels which ranks were reached.
+// Notifies the channels which ranks answered.
 void noteRelayed(const ways_to_ranks& ways, const std::vector<addressee>& to, const carried_order& carried)
 {
     const auto missing = std::count_if(
@@ -76,7 +77,7 @@
     }
 }
 
-// The answers of the ranks that are asked directly, which may come after all others were given up.
+// Answers of the ranks that receive the order directly. Outlive the call, because they may arrive after the deadline.
 struct direct_part {
     explicit direct_part(fiber_runtime& runtime)
         : answered(runtime)
--- a/coltsfootbend/group/rank_channel.h
+++ b/coltsfootbend/group/rank_channel.h
@@ -1,10 +1,12 @@
 #pragma once
 
-// How a leader reaches the ranks of its group: one at a time through its channel, or all at once through an
-// `order_carrier`, directly or by way of other ranks. Not for deciding what they are asked: see `group/map_leader.h`.
+// Sends a leader's orders to the ranks of its group: to one rank through its `rank_channel`, or to many at the same
+// time through an `order_dispatcher`, directly or relayed by other ranks. Not for deciding on the orders: see
+// `group/map_leader.h`.
 //
-//     direct_carrier carrier(runtime);
-//     const auto carried = carrier.carry(query, { { channel, life } }, deadline, { .every = 400ms, .beat = beat });
+//     direct_dispatcher dispatcher(runtime);
+//     const auto result = dispatcher.dispatch(
+//         query, { { channel, incarnation } }, deadline, { .interval = 400ms, .send = sendHeartbeat });
 
 #include "coltsfootbend/group/map_participant.h"
 #include "coltsfootbend/group/order_relay.h"
@@ -15,50 +17,51 @@
 
 namespace coltsfootbend {
 
+// Connection from a leader to one rank.
 class rank_channel {
 public:
     virtual ~rank_channel() = default;
-    // Fails when the rank cannot be asked.
+    // Sends an order to the rank and returns the rank's state afterwards. Fails if the rank cannot be reached.
     virtual result<wire::rank_state> ask(const wire::rank_order&, time_point deadline) = 0;
-    // Orders the rank's engine, from this VM, not to begin pass `step`. Fails like `rank_engine::hold`. The engine
-    // knows no group: only for ranks that have just told of the leader's own formation.
+    // Orders the rank's engine, directly from this VM, not to begin pass `step`. Fails like `rank_engine::hold`. The
+    // order names no group, so it may only be sent to ranks that have just reported the leader's own formation.
     virtual result<void> hold(group_epoch, pass_number step, time_point deadline) = 0;
 
-    // Where a relayed order finds the rank's agent; its number and life are filled in by whoever sends it.
+    // Returns the address of the rank's agent for relayed orders; the sender sets the target's number and incarnation.
     virtual wire::relay_target relayTarget() const = 0;
-    // True while the rank's agent is known not to answer, so that only `ask` reaches the rank.
+    // True while the rank's agent is known to be unresponsive, so that only `ask` reaches the rank.
     virtual bool isAskedDirectly() const = 0;
-    // The rank has answered a relayed order, or has not.
+    // Notifies the channel of the rank's answer to a relayed order, or of the lack of one.
     virtual void noteRelayed(const result<wire::rank_state>&) = 0;
 };
 
-// One rank to which an order goes.
+// One rank that an order is sent to.
 struct addressee {
     std::shared_ptr<rank_channel> channel;
-    std::uint64_t life = 0; // Of its engine, as the leader knows it; 0 where it was not told.
-    bool tellsDemand = false; // Of an order that asks for counts, this rank's are wanted.
+    std::uint64_t life = 0; // Of its engine, as the leader knows it; 0 if not reported.
+    bool tellsDemand = false; // True if the rank answers an order for demand counts with its own counts.
 };
 
-// What came back: the states in the order of the addressees, one that did not come failing with `TimedOut`, and counts
-// that were summed on the way.
+// Answers to one order: the states in the order of the addressees, with `TimedOut` for ranks that did not answer, and
+// the demand counts that relays have summed.
 struct carried_order {
     std::vector<result<wire::rank_state>> states;
     std::vector<std::uint32_t> demand;
 };
 
-// Takes one order to many ranks at the same time.
+// Sends one order to many ranks at the same time.
 class order_carrier {
 public:
     virtual ~order_carrier() = default;
-    // Returns once all have answered, at `deadline` at the latest. The scope of the order to each rank names its life.
-    // Blocks the calling fiber.
+    // Returns once all ranks have answered, at `deadline` at the latest. The scope of the order to each rank names the
+    // incarnation of its engine. Blocks the calling fiber.
     virtual carried_order carry(
         const wire::rank_order&, const std::vector<addressee>&, time_point deadline, const rank_beat&)
         = 0;
 };
 
-// Asks each rank through its channel. Only for a few: what the asking process sends, receives and keeps grows with the
-// ranks.
+// Sends the order to each rank through its channel. Only for a few ranks: the messages and the memory of this process
+// grow with their number.
 class direct_carrier final : public order_carrier {
 public:
     explicit direct_carrier(fiber_runtime& runtime)
@@ -73,7 +76,7 @@
     fiber_runtime& m_runtime;
 };
 
-// Asks ranks by way of each other, and directly those whose agents are silent.
+// Sends the order along a relay tree of the ranks, and directly to ranks whose agents are unresponsive.
 class relay_carrier final : public order_carrier {
 public:
     relay_carrier(fiber_runtime& runtime, order_relay& relay)
@@ -92,7 +95,8 @@
     fiber_runtime& m_runtime;
 };
 
-// `order` as it goes to one rank.
+// Returns `order` as it is sent to one rank: its scope names the incarnation, and the rank is asked for demand counts
+// only if it reports them.
 wire::rank_order orderFor(wire::rank_order order, std::uint64_t life, bool tellsDemand);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/rank_orders.cpp
+++ b/coltsfootbend/group/rank_orders.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// An order says nothing about another formation, or about a group that is not whole. On the wire it names its epoch and
-// not its group: that it reaches no other group rests on the report that was read just before, for an engine that joins
-// another group is broken and formed anew first, which takes longer than an order.
+// Returns whether the report is of this formation and the group is open. An order names its epoch but not its group on
+// the wire, so the report that is read just before the order ensures that the order reaches no other group: an engine
+// that joins another group first leaves its broken group and is formed again, which takes longer than an order.
 bool isIn(const rank_report& report, const group_formation& formation)
 {
     return report.group && report.group->isOpen
@@ -49,7 +49,7 @@
     while (isCurrent()) {
         const auto issuedAt = clock_type::now();
         const auto issued = issue(std::min(deadline, issuedAt + m_options.answerLimit));
-        // An order that was refused may be one that was carried out before: the report tells, and soon.
+        // A refused order may have been carried out by an earlier attempt, which the report then shows soon.
         const bool isRefused = !issued && issued.error().kind == error_kind::Stale;
         const auto lookUntil = std::min(deadline, clock_type::now() + repeatAfter);
         bool hasLooked = false;
@@ -60,7 +60,7 @@
                 if (verdict == confirmation::Confirmed)
                     return *report;
                 if (verdict == confirmation::Impossible)
-                    return ruledOut(isRefused ? issued.error().message : "it has moved on");
+                    return ruledOut(isRefused ? issued.error().message : "the order is no longer possible");
             }
             hasLooked = true;
             m_runtime.sleepFor(m_options.lookEvery);
@@ -68,9 +68,9 @@
         if (isRefused)
             return ruledOut(issued.error().message);
         if (clock_type::now() >= deadline)
-            return fail(error_kind::TimedOut, "the engine did not confirm the order", "Look at the engine's log");
+            return fail(error_kind::TimedOut, "the engine did not confirm the order", "Check the engine's log");
     }
-    return fail(error_kind::Denied, "another agent leads now", "Nothing: it finishes what was begun");
+    return fail(error_kind::Denied, "another agent is the leader now", "Nothing: the new leader completes the change");
 }
 
 result<rank_report> rank_orders::prepare(const group_formation& formation, engine_map_version version,
@@ -87,12 +87,13 @@
     };
     bool isAccepted = false;
     const auto issue = [&](time_point limit) -> result<void> {
-        // A version is taken once only, so an accepted order is waited for and not repeated.
+        // An engine accepts a version only once, so an accepted order is not repeated.
         if (isAccepted)
             return {};
         auto done = m_engine.prepare(formation.epoch, version, map, limit);
         isAccepted = done || done.error().kind == error_kind::Stale;
-        // Either it was carried out before, unanswered, or it never will be: the copy limit decides.
+        // A refused order was either accepted by an earlier attempt without an answer or never will be, so it is not
+        // repeated either: the report confirms it, or the copy timeout expires.
         return isAccepted ? result<void> {} : done;
     };
     return untilConfirmed(
@@ -115,8 +116,8 @@
     m_uncertain = target;
     auto done = untilConfirmed([&](time_point limit) { return m_engine.arm(formation.epoch, target, limit); }, judge,
         m_options.repeatAfter, deadline, isCurrent);
-    // Confirmed, or the pass has begun, after which an engine refuses it: in both cases the report is right from now
-    // on.
+    // Either the switch is confirmed, or the pass has begun, after which the engine refuses the order. The report is
+    // accurate in both cases.
     if (done || done.error().kind == error_kind::Stale)
         m_uncertain.reset();
     return done;
@@ -139,12 +140,12 @@
 {
     enterEpoch(formation.epoch);
     const auto judge = [&](const rank_report& report) {
-        // Another formation holds nothing.
+        // An engine in another formation holds no pass of this one.
         return isIn(report, formation) && report.held == step ? confirmation::Pending : confirmation::Confirmed;
     };
     if (const auto report = m_engine.report(std::min(deadline, clock_type::now() + m_options.reportLimit));
         report && judge(*report) == confirmation::Confirmed)
-        return *report; // Most ranks hold nothing.
+        return *report; // Most ranks hold no pass.
     return untilConfirmed([&](time_point limit) { return m_engine.release(formation.epoch, step, limit); }, judge,
         m_options.repeatAfter, deadline, isCurrent);
 }
--- a/coltsfootbend/group/rank_orders.h
+++ b/coltsfootbend/group/rank_orders.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// Gives orders to one engine until its report confirms them. An order may be lost, answered but late, or carried out
-// seconds after a later one; only the report tells. Everything here may be repeated without harm. Not for deciding what
-// to order: see `group/map_leader.h`.
+// Repeats orders to one engine until its report confirms them. An order may be lost, its answer may be late, and it may
+// be carried out seconds after a later order, so only the report is reliable. All calls are safe to repeat. Not for
+// deciding what to order: see `group/map_leader.h`.
 //
 //     rank_orders orders(runtime, engine);
-//     auto done = orders.arm(formation, { version, step }, deadline, [&] { return term == currentTerm; });
+//     auto report = orders.arm(formation, { version, step }, deadline, [&] { return term == currentTerm; });
 
 #include "coltsfootbend/group/rank_engine.h"
 #include "coltsfootbend/net/fiber_runtime.h"
@@ -18,17 +18,18 @@
 class rank_orders {
 public:
     struct options {
-        // An engine answers at once, or not at all; the first calls of a process take longer than later ones.
+        // Timeout of one order. An engine answers at once or not at all, but the first calls of a process are slower.
         duration answerLimit = std::chrono::milliseconds(40);
+        // Timeout of reading one report.
         duration reportLimit = std::chrono::milliseconds(120);
-        // Between two looks at the report.
+        // Interval between reading reports.
         duration lookEvery = std::chrono::milliseconds(8);
-        // An order that is not confirmed by then is given again.
+        // Time after which an unconfirmed order is sent again.
         duration repeatAfter = std::chrono::milliseconds(16);
-        // The copy of experts that a prepared map needs takes this long at most.
+        // Maximum time for copying the experts that a prepared map needs.
         duration copyLimit = std::chrono::milliseconds(2500);
     };
-    // False once somebody else is in charge: nothing more is ordered.
+    // Returns false once another leader has taken over or the order is superseded; no more orders are sent then.
     using is_current = std::function<bool()>;
 
     rank_orders(fiber_runtime& runtime, rank_engine& engine)
@@ -42,21 +43,21 @@
     {
     }
 
-    // Each returns the report that confirms it. Fail with `Stale` when the engine's state rules it out (another
-    // formation, a broken group, the pass has begun), with `TimedOut` at `deadline`, with `Denied` when no longer
-    // current.
+    // Each call returns the report that confirms the order. Fails with `Stale` if the engine's state rules the order
+    // out (another formation, a broken group, the pass has begun), with `TimedOut` at `deadline`, and with `Denied`
+    // once `is_current` returns false.
     result<rank_report> prepare(
         const group_formation&, engine_map_version, const group_map&, time_point deadline, const is_current&);
     result<rank_report> arm(const group_formation&, const armed_switch&, time_point deadline, const is_current&);
     result<rank_report> disarm(const group_formation&, engine_map_version, time_point deadline, const is_current&);
     result<rank_report> release(const group_formation&, pass_number step, time_point deadline, const is_current&);
 
-    // The engine was started anew, so that nothing that it was ordered before can still be carried out.
+    // Discards the record of orders after a restart of the engine, which cannot carry out earlier orders any more.
     void forget();
 
-    // A switch that was ordered in `epoch` and is not confirmed: it may still come.
+    // Returns a switch that was ordered in `epoch` but not confirmed; the engine may still carry it out.
     std::optional<armed_switch> uncertainSwitch(group_epoch epoch) const;
-    // The highest version ever ordered in `epoch`.
+    // Returns the highest map version that was ever ordered in `epoch`, or 0.
     engine_map_version highestOrdered(group_epoch epoch) const { return epoch == m_epoch ? m_highest : 0; }
 
 private:
@@ -71,8 +72,8 @@
     fiber_runtime& m_runtime;
     rank_engine& m_engine;
     const options m_options;
-    // An order names an epoch only, so one that is late may be carried out in another group whose epoch counts alike:
-    // what was ordered is remembered by epoch, whatever the group.
+    // Orders name an epoch but no group, so a late order may be carried out in another group with the same epoch
+    // number. The record is therefore kept by epoch, regardless of the group.
     group_epoch m_epoch = 0;
     std::optional<armed_switch> m_uncertain;
     engine_map_version m_highest = 0;
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -13,34 +13,40 @@
 
 namespace {
 
-// Gateways believe reports for longer than this, so a lost datagram or two do no harm.
+// Interval at which the engine's load is read and may be sent. Gateways use a report for longer, so one or two lost
+// datagrams do no harm.
 constexpr std::chrono::milliseconds newsEvery { 100 };
 constexpr std::chrono::milliseconds reportLimit { 300 };
+// Time after its last message for which a gateway is sent updates.
 constexpr std::chrono::seconds subscriptionLength { 3 };
+// Subtracted from the time of an order, so that the answer arrives before the leader's deadline.
 constexpr std::chrono::milliseconds orderSlack { 100 };
 constexpr std::chrono::milliseconds prepareAnswerLimit { 2500 };
 constexpr std::chrono::milliseconds armAnswerLimit { 800 };
 constexpr std::chrono::milliseconds queryAnswerLimit { 250 };
-// Within a data centre; less than the asker waits.
+// Timeout of a port probe; shorter than the timeout of the requesting gateway, which is in the same data centre.
 constexpr std::chrono::milliseconds portLookLimit { 200 };
 
-// A leader speaks several times a second. The ranks wait for each other in turn, so that one of them takes over.
+// Time without a leader's message after which rank 0 takes over. A leader sends several messages per second. Each
+// further rank waits longer, so that normally only one of them takes over.
 constexpr std::chrono::milliseconds leaderSilence { 1200 };
 constexpr std::chrono::milliseconds silencePerRank { 250 };
-// An agent that has just started hears a leader within a round, if there is one.
+// The same after the start of an agent, which is long enough to receive one message of a leader, if there is one.
 constexpr std::chrono::milliseconds silenceAfterStart { 500 };
-// With a switch ordered the group may stand still until somebody finishes it.
+// The same while a switch is armed: the group may be stalled until a leader completes the switch.
 constexpr std::chrono::milliseconds armedSilence { 400 };
 constexpr std::chrono::milliseconds armedSilencePerRank { 60 };
-// A change is under way, for which the group may be held already.
+// The same while a map is prepared: the leader may already be holding the group for the change.
 constexpr std::chrono::milliseconds preparedSilence { 600 };
+// Ranks from this number on wait equally long.
 constexpr rank_number ranksInTurn = 32;
-// What one change may take to copy experts: about two passes under a bad map. Without a limit streams under way pause
-// for longer than callers accept.
+// Maximum time for copying experts in one change, about two passes under a poor map. Without a limit, running streams
+// pause for longer than callers accept.
 constexpr std::chrono::milliseconds mostCopyTime { 110 };
+// Interval at which a rank checks whether to take over.
 constexpr std::chrono::milliseconds followCycle { 50 };
 
-// Whether gateways have to know at once: the group is another one, was formed anew, broke or opened.
+// Returns whether the group changed, was formed again, broke or opened, which gateways must be notified of at once.
 bool isOtherGroup(const std::optional<group_membership>& before, const std::optional<group_membership>& after)
 {
     if (!before || !after)
@@ -125,7 +131,7 @@
         });
 }
 
-// Only of servers: an agent looks at no other address for anybody.
+// Probes only addresses of backend servers, so that a peer cannot use an agent to probe other addresses.
 wire::port_finding rank_service::lookAt(const wire::port_inquiry& asked)
 {
     const auto address = parseEndpoint(asked.address);
@@ -243,7 +249,7 @@
         return lead->runRound(m_participant.term());
     }
     if (m_participant.heardAt() == time_point {})
-        m_participant.yield(0); // Silence counts from the start.
+        m_participant.yield(0); // The timeout starts when this agent starts.
     if (now < m_participant.heardAt() + silenceLimit())
         return followCycle;
     const auto term = m_participant.claim(rank);
@@ -303,8 +309,8 @@
     return std::max(1U, static_cast<std::uint32_t>(toMilliseconds(mostCopyTime) / copyMs));
 }
 
-// What one copy must bring in one set. More ranks share the gain of a faster pass, but each copy also makes the change
-// longer for all of them: between the two, the root.
+// With more ranks, more requests benefit from a faster pass, but each copy also delays all ranks for longer during the
+// change. The square root of the number of ranks is a compromise between the two effects.
 double rank_service::gainPerMove(const engine_model& engine) const
 {
     const double ranks = std::max(1.0, static_cast<double>(m_group->ranks));
@@ -319,7 +325,8 @@
         = std::find_if(servers.begin(), servers.end(), [&](const auto& entry) { return entry.second.address == own; });
     if (mine == servers.end())
         return;
-    std::map<data_centre_id, std::uint32_t> dataCentres { { mine->second.dataCentre, 0 } }; // The own one comes first.
+    std::map<data_centre_id, std::uint32_t> dataCentres { { mine->second.dataCentre,
+        0 } }; // The own data centre has number 0.
     std::vector<std::shared_ptr<rank_channel>> others;
     for (const auto& [id, server] : servers) {
         if (server.deployment != mine->second.deployment || server.address == own)
--- a/coltsfootbend/group/rank_service.h
+++ b/coltsfootbend/group/rank_service.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The agent beside one engine. It tells gateways the engine's load, which it reads fresh, answers the leader of the
-// engine's group, and leads itself when no leader is heard. Keeps nothing that another agent could not read from the
-// ranks. Found through the kernel as "rank".
+// The agent of one engine. Reads the engine's load and sends it to gateways, carries out orders of the leader of the
+// engine's group, and takes over as leader if the leader is unresponsive. Holds no state that another agent could not
+// read from the ranks. Registered in the kernel as "rank".
 //
-//     kernel.add(std::make_unique<rank_service>(runtime, settings, engine, engineAt));
+//     kernel.add(std::make_unique<rank_service>(runtime, settings, makeEngine));
 
 #include "coltsfootbend/gateway/deployment_watch.h"
 #include "coltsfootbend/group/load_subscribers.h"
@@ -29,7 +29,7 @@
 
 class rank_service final : public service {
 public:
-    // Makes a client of the engine at an address, for ranks whose agent does not answer.
+    // Creates a client of the engine at an address: of the own engine, and of ranks whose agent is unresponsive.
     using engine_source = std::function<std::unique_ptr<rank_engine>(const endpoint&)>;
 
     rank_service(fiber_runtime&, const daemon_settings&, engine_source);
@@ -41,22 +41,26 @@
 
 private:
     void answerPeers();
-    // Whether anybody listens at a backend server's address.
+    // Probes whether a process listens at a backend server's address.
     wire::port_finding lookAt(const wire::port_inquiry&);
     void newsLoop();
     void receiveLoop();
     void hearGateway(const endpoint& sender, const wire::load_subscribe&);
     void tellLoad(const rank_report&);
     void leadLoop();
-    // Leads, or waits for who does. Returns when to look again.
+    // Performs one cycle as the leader, or checks whether to take over. Returns the time until the next cycle.
     duration leadOrFollow();
-    // Null where the engine's deployment has no expert maps.
+    // Returns null if the engine's deployment has no expert maps.
     const engine_model* engineModel() const;
+    // Returns the minimum gain that one copied expert must bring in one set to be worth its copy.
     double gainPerMove(const engine_model&) const;
-    // Experts that one change may bring to a rank, so that copying them holds the change up for no longer than that.
+    // Returns how many experts one change may copy to a rank within the time limit for copies.
     static std::uint32_t copiesPerRank(const engine_model&);
+    // Returns the leader's logic, created on first use; null if the engine's deployment has no expert maps.
     map_leader* leader();
+    // Passes the channels of the group's other ranks to the leader's logic.
     void updateOthers();
+    // Returns how long this rank waits for a leader's message before it takes over.
     duration silenceLimit() const;
 
     fiber_runtime& m_runtime;
@@ -68,7 +72,7 @@
     metrics_service* m_metrics = nullptr;
     peer_service* m_peers = nullptr;
     std::unique_ptr<datagram_socket> m_news;
-    // What gateways tell each other by way of agents.
+    // Crashes of backend servers, which gateways exchange through agents.
     crash_history m_crashes;
     std::unique_ptr<datagram_crash_channel> m_crashChannel;
     std::unique_ptr<crash_gossip> m_gossip;
--- a/coltsfootbend/group/relay_peers.cpp
+++ b/coltsfootbend/group/relay_peers.cpp
@@ -11,11 +11,12 @@
 
 namespace {
 
-// An agent that works on an order says so this often, from the moment on at which it came.
+// Interval at which an agent acknowledges an order that it is working on. The first acknowledgement is sent at once.
 constexpr std::chrono::milliseconds signOfLifeEvery { 120 };
-// One that does not take an order for so long is gone round: an agent with 0.15 of a core answers within some 10 ms.
+// Time for the first acknowledgement, after which the agent is bypassed. An agent with 0.15 of a core answers within
+// about 10 ms.
 constexpr std::chrono::milliseconds takenLimit { 100 };
-// One that has taken it may be late once.
+// Time between two acknowledgements, which allows one of them to be late.
 constexpr std::chrono::milliseconds signOfLifeLimit { 300 };
 
 } // namespace
@@ -29,7 +30,7 @@
         return answers;
     if (stream)
         (*stream)->reset();
-    // The connection may have gone silent for good.
+    // The connection may be stalled permanently, so the next order opens a new one.
     if (answers.error().kind == error_kind::TimedOut && clock_type::now() < deadline)
         m_peers.drop(address);
     return answers;
@@ -45,8 +46,8 @@
         if (auto* answers = std::get_if<wire::relayed_answers>(&message->content))
             return std::move(*answers);
         if (!std::holds_alternative<wire::acknowledge>(message->content))
-            return fail(error_kind::BadInput, "the agent answered a relayed order with something else",
-                "Check that all agents are of versions that can talk");
+            return fail(error_kind::BadInput, "the agent answered a relayed order with an unexpected message",
+                "Check that the versions of all agents are compatible");
         patience = signOfLifeLimit;
     }
 }
@@ -59,7 +60,7 @@
 
 void relay_node::serve(peer_stream& stream, const wire::relayed_order& order)
 {
-    // Outlives the call where the asker is gone.
+    // Outlives the call if the requester's stream is closed.
     struct work {
         explicit work(fiber_runtime& runtime)
             : isDone(runtime)
@@ -108,7 +109,7 @@
     return packStates(gathered.states, std::move(gathered.demand));
 }
 
-// The state of the own rank; none where the engine does not tell it.
+// Returns the state of the own rank; no state if the engine does not report it.
 gathered_states relay_node::answerOwn(const wire::relayed_order& order, time_point deadline)
 {
     auto state = m_own.answer(orderFor(order.order, order.own.life, order.own.tellsDemand), deadline);
@@ -117,7 +118,7 @@
         told = std::move(*state);
     else if (state.error().kind != error_kind::NotFound)
         return {};
-    // An engine without a group is told as a state that names none.
+    // An engine without a group is reported as a state with an empty group name.
     told.target = order.own.number;
     auto demand = std::move(told.demand);
     told.demand.clear();
--- a/coltsfootbend/group/relay_peers.h
+++ b/coltsfootbend/group/relay_peers.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Relayed orders between agents: sends them to others, and answers them for the own rank and for those below it. Not
-// for the shape of the tree: see `group/order_relay.h`.
+// Exchanges relayed orders between agents: sends them to other agents, and answers them for the own rank and for the
+// ranks below it in the tree. Not for the shape of the tree: see `group/order_relay.h`.
 //
 //     peer_relay_transport transport(peers, port);
 //     order_relay relay(runtime, transport);
 //     relay_node node(runtime, participant, relay);
-//     node.answerPeers(peers);
+//     node.registerHandler(peers);
 
 #include "coltsfootbend/group/map_participant.h"
 #include "coltsfootbend/group/order_relay.h"
@@ -17,9 +17,10 @@
 
 namespace coltsfootbend {
 
+// Sends relayed orders over connections between agents.
 class peer_relay_transport final : public relay_transport {
 public:
-    // `port`: of the agents.
+    // `port` is the one on which all agents accept peers.
     peer_relay_transport(peer_client& peers, std::uint16_t port)
         : m_peers(peers)
         , m_port(port)
@@ -45,11 +46,11 @@
     {
     }
 
-    // Answers `relayed_order` messages from now on.
+    // Registers this node as the handler of `relayed_order` messages.
     void answerPeers(peer_service&);
 
-    // Carries `order` out for the own rank and hands it on to the others, both at the same time. Returns what was
-    // answered until `deadline`. Blocks the calling fiber.
+    // Carries out `order` for the own rank and concurrently relays it to the others. Returns the answers received until
+    // `deadline`. Blocks the calling fiber.
     wire::relayed_answers answer(const wire::relayed_order& order, time_point deadline);
 
 private:
--- a/coltsfootbend/group/relayed_states.cpp
+++ b/coltsfootbend/group/relayed_states.cpp
@@ -10,7 +10,8 @@
 
 constexpr double percent = 100;
 
-// Of the ranks of one group in one formation; nothing that names experts.
+// Returns whether the two states differ only in values that `rank_difference` holds. A state with a map never
+// qualifies.
 bool isAlike(const wire::rank_state& a, const wire::rank_state& b)
 {
     return a.term == b.term && a.group == b.group && a.epoch == b.epoch && a.ranks == b.ranks && a.isOpen == b.isOpen
--- a/coltsfootbend/group/relayed_states.h
+++ b/coltsfootbend/group/relayed_states.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Packs the states of many ranks for one message: the ranks of a group agree on almost everything, so that what they
-// agree on travels once, and each rank adds a few bytes. Deterministic. Not for deciding what states mean: see
+// Packs the states of many ranks into one message. The ranks of a group share almost all values, so the shared values
+// are encoded once, and each rank adds a few bytes. Deterministic. Not for interpreting states: see
 // `group/group_state.h`.
 //
 //     auto answers = packStates(states, demand);
@@ -13,12 +13,12 @@
 
 namespace coltsfootbend {
 
-// Paces are rounded to hundredths. What `unpackStates` returns may be in another order. O(states).
+// Packs states and demand counts, and returns the states again, possibly in another order. Paces are rounded to
+// hundredths. O(states).
 wire::relayed_answers packStates(const std::vector<wire::rank_state>& states, std::vector<std::uint32_t> demand);
 std::vector<wire::rank_state> unpackStates(const wire::relayed_answers&);
 
-// Adds `counts` to `sum`, which becomes as long as the longer of the two. Stays at the highest number instead of
-// starting over.
+// Adds `counts` to `sum`, which grows to the longer of the two. Saturates instead of overflowing.
 void addCounts(std::vector<std::uint32_t>& sum, const std::vector<std::uint32_t>& counts);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/relayed_states_test.cpp
+++ b/coltsfootbend/group/relayed_states_test.cpp
@@ -45,7 +45,7 @@
     return back;
 }
 
-TEST(RelayedStates, EachRankOfAGroupAddsLittleToAMessage)
+TEST(RelayedStates, EachRankOfAGroupAddsFewBytesToAMessage)
 {
     constexpr std::size_t bytesPerRank = 24;
     const auto bytes
@@ -53,8 +53,8 @@
     EXPECT_LT(bytes.size(), 129 * bytesPerRank);
 }
 
-// A rank that differs in anything that decides on a change keeps its own state.
-RC_GTEST_PROP(RelayedStates, WhatDecidesOnAChangeComesBackAsItWas, ())
+// A rank that differs in a value that affects decisions on changes is encoded with its whole state.
+RC_GTEST_PROP(RelayedStates, ValuesThatAffectChangesArePreserved, ())
 {
     auto all = states(*rc::gen::inRange<std::uint32_t>(1, 20));
     for (auto& state : all) {
@@ -106,7 +106,7 @@
     }
 }
 
-TEST(RelayedStates, CountsAddUpAndDoNotStartOver)
+TEST(RelayedStates, CountsAreSummedAndSaturate)
 {
     std::vector<std::uint32_t> sum { 1, 0xFFFF'FFFF };
     addCounts(sum, { 2, 5, 7 });
