--- a/coltsfootbend/group/agent_channel.cpp
+++ b/coltsfootbend/group/agent_channel.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 // Time for which the engine is called directly after its agent did not answer.
-constexpr std::chrono::milliseconds agentPause { 1000 };
+constexpr std::chrono::milliseconds directCallPeriod { 1000 };
 // Interval at which a rank that reported another group is asked again while this group is incomplete. Without repeating
 // the question, a rank that has moved to this group is never found and the group makes no more map changes. Well below
 // the seconds for which a group without one of its ranks is stalled anyway.
-constexpr std::chrono::milliseconds otherGroupPause { 500 };
+constexpr std::chrono::milliseconds otherGroupRetryInterval { 500 };
 
 wire::body bodyOf(const wire::rank_order& order)
 {
@@ -25,28 +25,29 @@
     : m_peers(peers)
     , m_agent(std::move(agent))
     , m_engine(std::move(engine))
-    , m_direct(runtime, *m_engine)
+    , m_directParticipant(runtime, *m_engine)
 {
 }
 
-result<wire::rank_state> agent_channel::ask(const wire::rank_order& asked, time_point deadline)
+result<wire::rank_state> agent_channel::ask(const wire::rank_order& order, time_point deadline)
 {
     if (isAskedDirectly())
-        return askEngine(asked, deadline);
-    const auto reply = m_peers.ask(m_agent, bodyOf(asked), deadline);
+        return askEngine(order, deadline);
+    const auto reply = m_peers.ask(m_agent, bodyOf(order), deadline);
     if (!reply) {
-        m_agentSilentUntil = clock_type::now() + agentPause;
+        m_agentUnresponsiveUntil = clock_type::now() + directCallPeriod;
         m_peers.drop(m_agent);
         return tl::unexpected(reply.error());
     }
     if (const auto* state = std::get_if<wire::rank_state>(&reply->content)) {
-        noteGroup(state->group);
+        setGroup(state->group);
         return *state;
     }
-    const auto* told = std::get_if<wire::problem>(&reply->content);
-    if (told && told->kind == static_cast<std::uint32_t>(error_kind::NotFound))
-        noteGroup("");
-    return fail(error_kind::Unavailable, told ? told->message : "the agent returned no state", "Check the agent's log");
+    const auto* problem = std::get_if<wire::problem>(&reply->content);
+    if (problem && problem->kind == static_cast<std::uint32_t>(error_kind::NotFound))
+        setGroup("");
+    return fail(
+        error_kind::Unavailable, problem ? problem->message : "the agent returned no state", "Check the agent's log");
 }
 
 result<void> agent_channel::hold(group_epoch epoch, pass_number step, time_point deadline)
@@ -62,34 +63,34 @@
 void agent_channel::noteRelayed(const result<wire::rank_state>& state)
 {
     if (state)
-        noteGroup(state->group);
+        setGroup(state->group);
     else
-        m_agentSilentUntil = clock_type::now() + agentPause;
+        m_agentUnresponsiveUntil = clock_type::now() + directCallPeriod;
 }
 
-void agent_channel::noteGroup(const std::string& group)
+void agent_channel::setGroup(const std::string& group)
 {
     m_hasNoGroup = group.empty();
     m_group = group;
-    m_groupToldAt = clock_type::now();
+    m_groupReportedAt = clock_type::now();
 }
 
 bool agent_channel::mayBelongTo(const std::string& group, bool isComplete, time_point now) const
 {
-    const bool isAskedAgain = !isComplete && now >= m_groupToldAt + otherGroupPause;
-    const bool mayBeOfGroup = !m_hasNoGroup && (m_group.empty() || m_group == group);
-    return mayBeOfGroup || isAskedAgain;
+    const bool isRetryDue = !isComplete && now >= m_groupReportedAt + otherGroupRetryInterval;
+    const bool mayBeMember = !m_hasNoGroup && (m_group.empty() || m_group == group);
+    return mayBeMember || isRetryDue;
 }
 
-result<wire::rank_state> agent_channel::askEngine(const wire::rank_order& asked, time_point deadline)
+result<wire::rank_state> agent_channel::askEngine(const wire::rank_order& order, time_point deadline)
 {
-    const auto* query = std::get_if<wire::rank_query>(&asked);
+    const auto* query = std::get_if<wire::rank_query>(&order);
     if (!query)
-        return m_direct.answer(asked, deadline);
+        return m_directParticipant.answer(order, deadline);
     // Reading demand counts from another VM slows the group down, and the counts of the other ranks are sufficient.
     auto reduced = *query;
     reduced.wantsDemand = false;
-    return m_direct.answer(reduced, deadline);
+    return m_directParticipant.answer(reduced, deadline);
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/agent_channel.h
+++ b/coltsfootbend/group/agent_channel.h
@@ -22,7 +22,7 @@
     result<wire::rank_state> ask(const wire::rank_order&, time_point deadline) override;
     result<void> hold(group_epoch, pass_number step, time_point deadline) override;
     wire::relay_target relayTarget() const override;
-    bool isAskedDirectly() const override { return clock_type::now() < m_agentSilentUntil; }
+    bool isAskedDirectly() const override { return clock_type::now() < m_agentUnresponsiveUntil; }
     void noteRelayed(const result<wire::rank_state>&) override;
 
     // Sets the data centre of the rank's VM, numbered by the leader.
@@ -34,16 +34,16 @@
 
 private:
     result<wire::rank_state> askEngine(const wire::rank_order&, time_point deadline);
-    void noteGroup(const std::string& group);
+    void setGroup(const std::string& group);
 
     peer_client& m_peers;
     const endpoint m_agent;
     const std::unique_ptr<rank_engine> m_engine;
-    map_participant m_direct;
+    map_participant m_directParticipant;
     std::uint32_t m_dataCentre = 0;
-    time_point m_agentSilentUntil {};
+    time_point m_agentUnresponsiveUntil {};
     std::string m_group;
-    time_point m_groupToldAt {};
+    time_point m_groupReportedAt {};
     bool m_hasNoGroup = false;
 };
 
--- a/coltsfootbend/group/load_subscribers.cpp
+++ b/coltsfootbend/group/load_subscribers.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Gateways per data centre that follow the store. One of them may be stalled or denied by the store.
-constexpr std::size_t followersPerDataCentre = 2;
+constexpr std::size_t maxFollowersPerDataCentre = 2;
 
 } // namespace
 
@@ -26,11 +26,11 @@
 // Returns only a gateway that the store serves, or one that has the newest known revision of both tables, so that it is
 // not itself behind. Prefers the requester's data centre. Chooses at random, because one gateway may be unreachable and
 // so that all up-to-date gateways share the load.
-const endpoint* load_subscribers::findInformed(const subscriber& asker)
+const endpoint* load_subscribers::findInformed(const subscriber& requester)
 {
     const auto knowsMore = [&](const subscriber& candidate) {
-        return candidate.knows.configuration.revision > asker.knows.configuration.revision
-            || candidate.knows.servers.revision > asker.knows.servers.revision;
+        return candidate.knows.configuration.revision > requester.knows.configuration.revision
+            || candidate.knows.servers.revision > requester.knows.servers.revision;
     };
     std::uint64_t configuration = 0;
     std::uint64_t servers = 0;
@@ -38,16 +38,16 @@
         configuration = std::max(configuration, candidate.knows.configuration.revision);
         servers = std::max(servers, candidate.knows.servers.revision);
     }
-    std::vector<const endpoint*> near;
-    std::vector<const endpoint*> far;
+    std::vector<const endpoint*> nearby;
+    std::vector<const endpoint*> remote;
     for (const auto& [address, candidate] : m_subscribers) {
         const bool knowsAll
             = candidate.knows.configuration.revision == configuration && candidate.knows.servers.revision == servers;
         if (!knowsMore(candidate) || (!candidate.knows.isServed && !knowsAll))
             continue;
-        (candidate.knows.dataCentre == asker.knows.dataCentre ? near : far).push_back(&address);
+        (candidate.knows.dataCentre == requester.knows.dataCentre ? nearby : remote).push_back(&address);
     }
-    const auto& informed = near.empty() ? far : near;
+    const auto& informed = nearby.empty() ? remote : nearby;
     if (informed.empty())
         return nullptr;
     return informed[std::uniform_int_distribution<std::size_t>(0, informed.size() - 1)(m_random)];
@@ -55,25 +55,25 @@
 
 wire::store_confirmation load_subscribers::configuration(time_point now) const
 {
-    return youngest(&wire::deployment_knowledge::configuration, now);
+    return newestConfirmation(&wire::deployment_knowledge::configuration, now);
 }
 
 wire::store_confirmation load_subscribers::servers(time_point now) const
 {
-    return youngest(&wire::deployment_knowledge::servers, now);
+    return newestConfirmation(&wire::deployment_knowledge::servers, now);
 }
 
-wire::store_confirmation load_subscribers::youngest(
+wire::store_confirmation load_subscribers::newestConfirmation(
     wire::store_confirmation wire::deployment_knowledge::*table, time_point now) const
 {
     wire::store_confirmation found;
     for (const auto& [address, candidate] : m_subscribers) {
-        const auto& told = candidate.knows.*table;
-        if (told.ageMs == wire::store_confirmation::never)
+        const auto& confirmation = candidate.knows.*table;
+        if (confirmation.ageMs == wire::store_confirmation::never)
             continue;
-        const auto age = told.ageMs + static_cast<std::uint64_t>(remaining(candidate.heardAt, now).count());
+        const auto age = confirmation.ageMs + static_cast<std::uint64_t>(remaining(candidate.heardAt, now).count());
         if (age < found.ageMs)
-            found = { .revision = told.revision, .ageMs = age };
+            found = { .revision = confirmation.revision, .ageMs = age };
     }
     return found;
 }
@@ -97,7 +97,7 @@
             duty = served[dataCentre] > 0 ? wire::store_duty::Rest : wire::store_duty::Follow;
             continue;
         }
-        if (followers[dataCentre] == followersPerDataCentre) {
+        if (followers[dataCentre] == maxFollowersPerDataCentre) {
             duty = wire::store_duty::Rest;
             continue;
         }
--- a/coltsfootbend/group/load_subscribers.h
+++ b/coltsfootbend/group/load_subscribers.h
@@ -37,7 +37,7 @@
     const std::map<endpoint, subscriber>& all() const { return m_subscribers; }
 
     // Returns the address of a gateway that has a newer table of the deployment than `requester`, or null.
-    const endpoint* findInformed(const subscriber& asker);
+    const endpoint* findInformed(const subscriber& requester);
 
     // Return the most recent confirmation of a table by any gateway, with its age as of `now`.
     wire::store_confirmation configuration(time_point now) const;
@@ -48,7 +48,7 @@
     std::map<endpoint, wire::store_duty> duties() const;
 
 private:
-    wire::store_confirmation youngest(
+    wire::store_confirmation newestConfirmation(
         wire::store_confirmation wire::deployment_knowledge::*table, time_point now) const;
 
     std::map<endpoint, subscriber> m_subscribers;
--- a/coltsfootbend/group/load_subscribers_test.cpp
+++ b/coltsfootbend/group/load_subscribers_test.cpp
@@ -47,15 +47,15 @@
 TEST(LoadSubscribers, TwoGatewaysPerDataCentreFollowTheStoreAndTheOthersBackOff)
 {
     load_subscribers subscribers(1);
-    const endpoint far { "10.0.0.9", 7000 };
+    const endpoint remote { "10.0.0.9", 7000 };
     for (const auto& address : { first, second, third })
         subscribers.hear(address, knowing(5, 0), start + 9s, start);
-    auto elsewhere = knowing(5, 0);
-    elsewhere.dataCentre = "b";
-    subscribers.hear(far, elsewhere, start + 9s, start);
+    auto inOtherDataCentre = knowing(5, 0);
+    inOtherDataCentre.dataCentre = "b";
+    subscribers.hear(remote, inOtherDataCentre, start + 9s, start);
     EXPECT_EQ(subscribers.duties().at(second), wire::store_duty::Follow);
     EXPECT_EQ(subscribers.duties().at(third), wire::store_duty::Rest);
-    EXPECT_EQ(subscribers.duties().at(far), wire::store_duty::Follow);
+    EXPECT_EQ(subscribers.duties().at(remote), wire::store_duty::Follow);
 }
 
 // If the end of a follower ended the backoff of the other gateways, all of them would read the store at the same time.
@@ -73,20 +73,20 @@
 {
     load_subscribers subscribers(1);
     subscribers.hear(first, knowing(5, 0), start + 3s, start);
-    auto far = knowing(6, 0);
-    far.dataCentre = "b";
-    subscribers.hear(second, far, start + 3s, start);
-    const auto& asker = subscribers.all().at(first);
-    ASSERT_NE(subscribers.findInformed(asker), nullptr);
-    EXPECT_EQ(*subscribers.findInformed(asker), second);
+    auto remote = knowing(6, 0);
+    remote.dataCentre = "b";
+    subscribers.hear(second, remote, start + 3s, start);
+    const auto& requester = subscribers.all().at(first);
+    ASSERT_NE(subscribers.findInformed(requester), nullptr);
+    EXPECT_EQ(*subscribers.findInformed(requester), second);
     subscribers.hear(third, knowing(6, 0), start + 3s, start);
-    EXPECT_EQ(*subscribers.findInformed(asker), third);
+    EXPECT_EQ(*subscribers.findInformed(requester), third);
     // A gateway that does not read the store is returned only if it has the newest tables.
     subscribers.hear(third, knowing(6, 0, false), start + 3s, start);
-    EXPECT_EQ(*subscribers.findInformed(asker), third);
-    far.configuration.revision = 7;
-    subscribers.hear(second, far, start + 3s, start);
-    EXPECT_EQ(*subscribers.findInformed(asker), second);
+    EXPECT_EQ(*subscribers.findInformed(requester), third);
+    remote.configuration.revision = 7;
+    subscribers.hear(second, remote, start + 3s, start);
+    EXPECT_EQ(*subscribers.findInformed(requester), second);
 }
 
 } // namespace
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -121,7 +121,7 @@
         , engine(runtime, group, number, stalledUntil)
         , participant(std::make_unique<map_participant>(runtime, engine))
         , transport(runtime, group, faults, agents, *this)
-        , relay(runtime, transport, { .fanOut = 1, .silentPause = 100ms, .hopSlack = 3ms })
+        , relay(runtime, transport, { .fanOut = 1, .unresponsivePeriod = 100ms, .hopSlack = 3ms })
         , node(runtime, *participant, relay)
         , direct(runtime)
         , relayed(runtime, relay)
--- a/coltsfootbend/group/map_participant.cpp
+++ b/coltsfootbend/group/map_participant.cpp
@@ -9,25 +9,25 @@
 namespace {
 
 // Number of maps kept as a base for changes: the map in use, the next one, and one that was prepared but abandoned.
-constexpr std::size_t keptMaps = 3;
+constexpr std::size_t maxKnownMaps = 3;
 
-const wire::order_scope& scopeOf(const wire::rank_order& asked)
+const wire::order_scope& scopeOf(const wire::rank_order& order)
 {
-    return std::visit([](const auto& message) -> const wire::order_scope& { return message.scope; }, asked);
+    return std::visit([](const auto& message) -> const wire::order_scope& { return message.scope; }, order);
 }
 
 } // namespace
 
-bool map_participant::obeys(leader_term term)
+bool map_participant::acceptTerm(leader_term term)
 {
     if (term < m_term)
         return false;
     m_term = term;
-    m_heardAt = clock_type::now();
+    m_leaderReceivedAt = clock_type::now();
     return true;
 }
 
-bool map_participant::isInOrder(const wire::order_scope& scope)
+bool map_participant::acceptSerial(const wire::order_scope& scope)
 {
     if (scope.serial == 0)
         return true;
@@ -50,24 +50,24 @@
 leader_term map_participant::claim(rank_number rank)
 {
     m_term = termAfter(m_term, rank);
-    m_heardAt = clock_type::now();
+    m_leaderReceivedAt = clock_type::now();
     return m_term;
 }
 
-result<void> map_participant::enterLife(engine_life life)
+result<void> map_participant::enterIncarnation(engine_life life)
 {
-    if (life == m_life || life.isNone())
+    if (life == m_engineIncarnation || life.isNone())
         return {};
-    if (life < m_life)
+    if (life < m_engineIncarnation)
         return fail(error_kind::Stale, "this was told before the engine's restart", "Ask again");
-    if (!m_life.isNone()) {
-        m_orders.forget();
+    if (!m_engineIncarnation.isNone()) {
+        m_orders.reset();
         m_knownMaps.clear();
         m_isArmed = false;
         m_isPrepared = false;
         m_preparedTerm = 0;
     }
-    m_life = life;
+    m_engineIncarnation = life;
     return {};
 }
 
@@ -80,7 +80,7 @@
         return;
     if (!m_group.empty()) {
         m_term = 0;
-        m_heardAt = clock_type::now();
+        m_leaderReceivedAt = clock_type::now();
         m_knownMaps.clear();
         m_isArmed = false;
         m_isPrepared = false;
@@ -91,13 +91,13 @@
 
 void map_participant::observe(const rank_report& report)
 {
-    if (report.group && enterLife(report.life))
+    if (report.group && enterIncarnation(report.life))
         enterGroup(report.group->name);
 }
 
 result<wire::rank_state> map_participant::stateOf(const rank_report& report)
 {
-    if (const auto entered = enterLife(report.life); !entered)
+    if (const auto entered = enterIncarnation(report.life); !entered)
         return tl::unexpected(entered.error());
     if (!report.group)
         return fail(error_kind::NotFound, "the engine belongs to no group", "Nothing: it needs no expert maps");
@@ -126,13 +126,14 @@
         state.isArmUncertain = true;
     }
     state.heldStep = report.held.value_or(0);
-    state.highestVersion = std::max({ report.mapVersion, state.preparedVersion, m_orders.highestOrdered(group.epoch) });
+    state.highestVersion
+        = std::max({ report.mapVersion, state.preparedVersion, m_orders.highestOrderedVersion(group.epoch) });
     state.pace = report.pace;
     state.requests = report.running + report.waiting;
     return state;
 }
 
-result<wire::rank_state> map_participant::look(time_point deadline)
+result<wire::rank_state> map_participant::readState(time_point deadline)
 {
     const auto report = m_engine.report(deadline);
     if (!report)
@@ -149,23 +150,24 @@
     if (!demand)
         return; // The leader uses the counts of other ranks, and the next answer includes the missing counts.
     const auto& counts = demand->counts;
-    constexpr std::uint64_t most = std::numeric_limits<std::uint32_t>::max();
+    constexpr std::uint64_t maxCount = std::numeric_limits<std::uint32_t>::max();
     // Without earlier counts there is no difference to report: a newly started agent would report the demand since the
     // start of the engine as current demand.
     if (counts.size() != m_lastCounts.size()) {
         m_lastCounts = counts;
-        m_lastCountsLife = demand->life;
+        m_lastCountsIncarnation = demand->life;
         return;
     }
     // Counts of another incarnation, or that decrease, show that the engine was restarted: all of them are new.
-    bool isContinued = demand->life == m_lastCountsLife;
+    bool isContinued = demand->life == m_lastCountsIncarnation;
     for (std::size_t i = 0; isContinued && i < counts.size(); ++i)
         isContinued = counts[i] >= m_lastCounts[i];
     state.demand.resize(counts.size());
     for (std::size_t i = 0; i < counts.size(); ++i)
-        state.demand[i] = static_cast<std::uint32_t>(std::min(most, counts[i] - (isContinued ? m_lastCounts[i] : 0)));
+        state.demand[i]
+            = static_cast<std::uint32_t>(std::min(maxCount, counts[i] - (isContinued ? m_lastCounts[i] : 0)));
     m_lastCounts = counts;
-    m_lastCountsLife = demand->life;
+    m_lastCountsIncarnation = demand->life;
 }
 
 result<void> map_participant::addMap(wire::rank_state& state, time_point deadline)
@@ -178,114 +180,114 @@
     return {};
 }
 
-result<wire::rank_state> map_participant::answer(const wire::rank_order& asked, time_point deadline)
+result<wire::rank_state> map_participant::answer(const wire::rank_order& order, time_point deadline)
 {
     // Only a fresh report shows the formation that the rank belongs to.
-    auto now = look(deadline);
-    if (!now || !isAddressed(asked, *now) || !obeys(scopeOf(asked).term))
-        return now;
-    now->term = m_term;
-    if (!isInOrder(scopeOf(asked)))
-        return now;
-    if (const auto* message = std::get_if<wire::rank_query>(&asked))
-        return query(*message, std::move(*now), deadline);
-    if (const auto* message = std::get_if<wire::rank_prepare>(&asked))
+    auto state = readState(deadline);
+    if (!state || !isAddressed(order, *state) || !acceptTerm(scopeOf(order).term))
+        return state;
+    state->term = m_term;
+    if (!acceptSerial(scopeOf(order)))
+        return state;
+    if (const auto* message = std::get_if<wire::rank_query>(&order))
+        return query(*message, std::move(*state), deadline);
+    if (const auto* message = std::get_if<wire::rank_prepare>(&order))
         return prepare(*message, deadline);
-    if (const auto* message = std::get_if<wire::rank_arm>(&asked))
+    if (const auto* message = std::get_if<wire::rank_arm>(&order))
         return arm(*message, deadline);
-    if (const auto* message = std::get_if<wire::rank_disarm>(&asked))
+    if (const auto* message = std::get_if<wire::rank_disarm>(&order))
         return disarm(*message, deadline);
-    return release(std::get<wire::rank_release>(asked), deadline);
+    return release(std::get<wire::rank_release>(order), deadline);
 }
 
 // A query needs to match only the group, because the leader may not know the rank's latest formation yet. All other
 // orders must name the formation.
-bool map_participant::isAddressed(const wire::rank_order& asked, const wire::rank_state& state) const
+bool map_participant::isAddressed(const wire::rank_order& order, const wire::rank_state& state) const
 {
-    const auto& scope = scopeOf(asked);
+    const auto& scope = scopeOf(order);
     if (scope.group != state.group)
         return false;
-    if (std::holds_alternative<wire::rank_query>(asked))
+    if (std::holds_alternative<wire::rank_query>(order))
         return true;
     return scope.epoch == state.epoch && (scope.life == 0 || state.life == 0 || scope.life == state.life);
 }
 
 group_formation map_participant::formationOf(const wire::order_scope& scope) const
 {
-    return { scope.group, scope.epoch, m_life };
+    return { scope.group, scope.epoch, m_engineIncarnation };
 }
 
 result<wire::rank_state> map_participant::query(
-    const wire::rank_query& asked, wire::rank_state state, time_point deadline)
+    const wire::rank_query& order, wire::rank_state state, time_point deadline)
 {
-    if (asked.wantsDemand)
+    if (order.wantsDemand)
         addDemand(state, deadline);
-    if (asked.wantsMap) {
+    if (order.wantsMap) {
         if (auto added = addMap(state, deadline); !added)
             return tl::unexpected(added.error());
     }
     return state;
 }
 
-std::optional<group_map> map_participant::offeredMap(const wire::rank_prepare& asked)
+std::optional<group_map> map_participant::resolveMap(const wire::rank_prepare& order)
 {
-    const auto formation = formationOf(asked.scope);
-    group_map map = asked.map;
+    const auto formation = formationOf(order.scope);
+    group_map map = order.map;
     if (map.empty()) {
         const auto base = std::find_if(m_knownMaps.begin(), m_knownMaps.end(),
-            [&](const known_map& known) { return known.formation == formation && known.version == asked.baseVersion; });
+            [&](const known_map& known) { return known.formation == formation && known.version == order.baseVersion; });
         if (base == m_knownMaps.end())
             return std::nullopt;
         map = base->map;
-        for (const auto& row : asked.changes) {
+        for (const auto& row : order.changes) {
             if (row.set >= map.size() || row.rank >= map[row.set].size())
                 return std::nullopt;
             map[row.set][row.rank] = row.experts;
         }
     }
-    m_knownMaps.insert(m_knownMaps.begin(), { formation, asked.version, map });
-    m_knownMaps.resize(std::min(m_knownMaps.size(), keptMaps));
+    m_knownMaps.insert(m_knownMaps.begin(), { formation, order.version, map });
+    m_knownMaps.resize(std::min(m_knownMaps.size(), maxKnownMaps));
     return map;
 }
 
-result<wire::rank_state> map_participant::prepare(const wire::rank_prepare& asked, time_point deadline)
+result<wire::rank_state> map_participant::prepare(const wire::rank_prepare& order, time_point deadline)
 {
-    const auto map = offeredMap(asked);
+    const auto map = resolveMap(order);
     if (!map) {
-        auto state = look(deadline);
+        auto state = readState(deadline);
         if (state)
             state->lacksBase = true;
         return state;
     }
-    m_preparedVersion = asked.version;
-    m_preparedTerm = asked.scope.term;
+    m_preparedVersion = order.version;
+    m_preparedTerm = order.scope.term;
     m_isPrepared = true;
     const auto done = m_orders.prepare(
-        formationOf(asked.scope), asked.version, *map, deadline, [&] { return isCurrent(asked.scope); });
-    return done ? stateOf(*done) : look(deadline);
+        formationOf(order.scope), order.version, *map, deadline, [&] { return isCurrent(order.scope); });
+    return done ? stateOf(*done) : readState(deadline);
 }
 
-result<wire::rank_state> map_participant::arm(const wire::rank_arm& asked, time_point deadline)
+result<wire::rank_state> map_participant::arm(const wire::rank_arm& order, time_point deadline)
 {
     m_isArmed = true;
     const auto done = m_orders.arm(
-        formationOf(asked.scope), { asked.version, asked.step }, deadline, [&] { return isCurrent(asked.scope); });
-    return done ? stateOf(*done) : look(deadline);
+        formationOf(order.scope), { order.version, order.step }, deadline, [&] { return isCurrent(order.scope); });
+    return done ? stateOf(*done) : readState(deadline);
 }
 
-result<wire::rank_state> map_participant::disarm(const wire::rank_disarm& asked, time_point deadline)
+result<wire::rank_state> map_participant::disarm(const wire::rank_disarm& order, time_point deadline)
 {
     const auto done
-        = m_orders.disarm(formationOf(asked.scope), asked.version, deadline, [&] { return isCurrent(asked.scope); });
-    return done ? stateOf(*done) : look(deadline);
+        = m_orders.disarm(formationOf(order.scope), order.version, deadline, [&] { return isCurrent(order.scope); });
+    return done ? stateOf(*done) : readState(deadline);
 }
 
-result<wire::rank_state> map_participant::release(const wire::rank_release& asked, time_point deadline)
+result<wire::rank_state> map_participant::release(const wire::rank_release& order, time_point deadline)
 {
     const auto done
-        = m_orders.release(formationOf(asked.scope), asked.step, deadline, [&] { return isCurrent(asked.scope); });
+        = m_orders.release(formationOf(order.scope), order.step, deadline, [&] { return isCurrent(order.scope); });
     m_isArmed = false;
-    return done ? stateOf(*done) : look(deadline);
+    return done ? stateOf(*done) : readState(deadline);
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/map_participant.h
+++ b/coltsfootbend/group/map_participant.h
@@ -27,7 +27,7 @@
     // Carries out `order` and returns the state of the rank afterwards, with the highest term received. Nothing was
     // done if that term is above the order's, or if the state is not of the formation that the order names. Fails if
     // the engine does not report its state.
-    result<wire::rank_state> answer(const wire::rank_order& asked, time_point deadline);
+    result<wire::rank_state> answer(const wire::rank_order& order, time_point deadline);
 
     // Takes in a report of the engine that was read independently of any order.
     void observe(const rank_report&);
@@ -37,7 +37,7 @@
     // Group that the engine belongs to; empty while unknown.
     const std::string& group() const { return m_group; }
     // Time of the last message from a current leader; also reset when the engine joins another group.
-    time_point heardAt() const { return m_heardAt; }
+    time_point heardAt() const { return m_leaderReceivedAt; }
     // True from the order to arm a switch until the leader releases the pass.
     bool isArmed() const { return m_isArmed; }
     // True while a map is prepared but not yet in use, so that a change is in progress.
@@ -45,7 +45,7 @@
     // Makes this rank the leader and returns its new term, which is above all terms received.
     leader_term claim(rank_number rank);
     // Takes in the term of a leader, as reported by another rank.
-    void yield(leader_term term) { (void)obeys(term); }
+    void yield(leader_term term) { (void)acceptTerm(term); }
 
 private:
     result<wire::rank_state> query(const wire::rank_query&, wire::rank_state, time_point deadline);
@@ -54,11 +54,11 @@
     result<wire::rank_state> disarm(const wire::rank_disarm&, time_point deadline);
     result<wire::rank_state> release(const wire::rank_release&, time_point deadline);
     // Returns the whole map of the order; none if the order lists changes to a map that is not known here.
-    std::optional<group_map> offeredMap(const wire::rank_prepare&);
+    std::optional<group_map> resolveMap(const wire::rank_prepare&);
     // Returns false for a term below the highest one received; otherwise records the term and the time.
-    bool obeys(leader_term term);
+    bool acceptTerm(leader_term term);
     // Returns false for an order that was issued before one already received; otherwise records its serial number.
-    bool isInOrder(const wire::order_scope&);
+    bool acceptSerial(const wire::order_scope&);
     // Returns false once a newer leader, or a newer order of the same leader, has been received.
     bool isCurrent(const wire::order_scope&) const;
     bool isAddressed(const wire::rank_order&, const wire::rank_state&) const;
@@ -66,9 +66,9 @@
     // Discards state that belongs to another group.
     void enterGroup(const std::string& group);
     // Discards state of an earlier incarnation of the engine. Fails with `Stale` if the argument is an earlier one.
-    result<void> enterLife(engine_life life);
+    result<void> enterIncarnation(engine_life life);
     result<wire::rank_state> stateOf(const rank_report&);
-    result<wire::rank_state> look(time_point deadline);
+    result<wire::rank_state> readState(time_point deadline);
     void addDemand(wire::rank_state&, time_point deadline);
     result<void> addMap(wire::rank_state&, time_point deadline);
 
@@ -79,16 +79,16 @@
     // Newest order received: the leader's run, and the order's serial number in it.
     std::uint64_t m_leaderRun = 0;
     std::uint64_t m_lastSerial = 0;
-    time_point m_heardAt {};
+    time_point m_leaderReceivedAt {};
     bool m_isArmed = false;
     bool m_isPrepared = false;
     // Last map that was ordered to be prepared, and the term of that order.
     engine_map_version m_preparedVersion = 0;
     leader_term m_preparedTerm = 0;
-    engine_life m_life;
+    engine_life m_engineIncarnation;
     // Demand counts at the last answer, and the engine's incarnation then.
     std::vector<std::uint64_t> m_lastCounts;
-    engine_life m_lastCountsLife;
+    engine_life m_lastCountsIncarnation;
     // Maps of the last orders to prepare, newest first; later orders may list only changes to one of them.
     struct known_map {
         group_formation formation;
--- a/coltsfootbend/group/map_participant_test.cpp
+++ b/coltsfootbend/group/map_participant_test.cpp
@@ -9,12 +9,12 @@
 using namespace std::chrono_literals;
 
 // An engine that returns a report set by the test, and accepts every order without carrying it out.
-class told_engine final : public rank_engine {
+class scripted_engine final : public rank_engine {
 public:
-    result<rank_report> report(time_point) override { return told; }
+    result<rank_report> report(time_point) override { return nextReport; }
     result<rank_demand> demand(time_point) override
     {
-        return rank_demand { .life = told.life, .epoch = 1, .counts = counts };
+        return rank_demand { .life = nextReport.life, .epoch = 1, .counts = counts };
     }
     result<rank_maps> maps(time_point) override { return rank_maps {}; }
     result<void> prepare(group_epoch, engine_map_version, const group_map& map, time_point) override
@@ -32,19 +32,19 @@
     result<void> hold(group_epoch, pass_number, time_point) override { return {}; }
     result<void> release(group_epoch, pass_number, time_point) override { return {}; }
 
-    rank_report told;
+    rank_report nextReport;
     std::vector<std::uint64_t> counts { 0, 0 };
     int orders = 0;
     group_map lastMap;
 };
 
-void withParticipant(const std::function<void(map_participant&, told_engine&)>& work)
+void withParticipant(const std::function<void(map_participant&, scripted_engine&)>& work)
 {
     std::thread([&] {
         fiber_runtime runtime;
         runtime.spawn([&] {
-            told_engine engine;
-            engine.told.group = group_membership { "g", 1, 2, 4, true };
+            scripted_engine engine;
+            engine.nextReport.group = group_membership { "g", 1, 2, 4, true };
             map_participant participant(runtime, engine);
             work(participant, engine);
             runtime.stop();
@@ -53,7 +53,7 @@
     }).join();
 }
 
-// Returns the scope of an order to the formation that `told_engine` reports at first.
+// Returns the scope of an order to the formation that `scripted_engine` reports at first.
 wire::order_scope scope(leader_term term) { return { .term = term, .group = "g", .epoch = 1 }; }
 
 std::vector<std::uint32_t> askDemand(map_participant& participant, leader_term term)
@@ -64,7 +64,7 @@
 
 TEST(MapParticipant, DemandCountedBeforeTheFirstAnswerIsNotReported)
 {
-    withParticipant([](map_participant& participant, told_engine& engine) {
+    withParticipant([](map_participant& participant, scripted_engine& engine) {
         engine.counts = { 1000, 5 };
         EXPECT_TRUE(askDemand(participant, 1).empty()) << "there are no earlier counts to compare with";
         engine.counts = { 1010, 25 };
@@ -74,7 +74,7 @@
 
 TEST(MapParticipant, DecreasingCountsIndicateARestartedEngine)
 {
-    withParticipant([](map_participant& participant, told_engine& engine) {
+    withParticipant([](map_participant& participant, scripted_engine& engine) {
         engine.counts = { 1000, 5 };
         (void)askDemand(participant, 1);
         engine.counts = { 3, 4 };
@@ -84,7 +84,7 @@
 
 TEST(MapParticipant, OrderOfAnEarlierLeaderIsNotCarriedOut)
 {
-    withParticipant([](map_participant& participant, told_engine& engine) {
+    withParticipant([](map_participant& participant, scripted_engine& engine) {
         const auto newer = termAfter(0, 3);
         (void)askDemand(participant, newer);
         const wire::rank_arm arm { .scope = scope(newer - 1), .version = 7, .step = 100 };
@@ -99,15 +99,15 @@
 // leader of its earlier group, the next pass of its new group begins with two different maps.
 TEST(MapParticipant, OrderForAnotherGroupEpochOrIncarnationIsNotCarriedOut)
 {
-    withParticipant([](map_participant& participant, told_engine& engine) {
-        engine.told.life = engine_life(5);
+    withParticipant([](map_participant& participant, scripted_engine& engine) {
+        engine.nextReport.life = engine_life(5);
         auto otherGroup = scope(1);
         otherGroup.group = "h";
         auto otherEpoch = scope(1);
         otherEpoch.epoch = 2;
-        auto otherLife = scope(1);
-        otherLife.life = 4;
-        for (const auto& wrong : { otherGroup, otherEpoch, otherLife }) {
+        auto otherIncarnation = scope(1);
+        otherIncarnation.life = 4;
+        for (const auto& wrong : { otherGroup, otherEpoch, otherIncarnation }) {
             const auto state = participant.answer(
                 wire::rank_arm { .scope = wrong, .version = 7, .step = 100 }, clock_type::now() + 60ms);
             ASSERT_TRUE(state) << "the answer reports the rank's formation";
@@ -129,7 +129,7 @@
 // newer orders.
 TEST(MapParticipant, OrderReceivedAfterALaterOneIsNotCarriedOut)
 {
-    withParticipant([](map_participant& participant, told_engine& engine) {
+    withParticipant([](map_participant& participant, scripted_engine& engine) {
         const auto numbered = [](std::uint64_t run, std::uint64_t serial) {
             auto numbered = scope(1);
             numbered.leaderRun = run;
@@ -152,7 +152,7 @@
 
 TEST(MapParticipant, LeaderOfAnotherGroupGetsTheStateButItsTermIsIgnored)
 {
-    withParticipant([](map_participant& participant, told_engine&) {
+    withParticipant([](map_participant& participant, scripted_engine&) {
         auto other = scope(termAfter(0, 3));
         other.group = "h";
         const auto state = participant.answer(wire::rank_query { .scope = other }, clock_type::now() + 1s);
@@ -165,11 +165,11 @@
 // In the new group, the term would identify another process: the one with the same rank number.
 TEST(MapParticipant, RankThatJoinsAnotherGroupResetsItsTerm)
 {
-    withParticipant([](map_participant& participant, told_engine& engine) {
+    withParticipant([](map_participant& participant, scripted_engine& engine) {
         (void)askDemand(participant, termAfter(0, 3));
         EXPECT_EQ(leaderOf(participant.term()), 3U);
-        engine.told.group = group_membership { "h", 1, 3, 4, true };
-        participant.observe(engine.told);
+        engine.nextReport.group = group_membership { "h", 1, 3, 4, true };
+        participant.observe(engine.nextReport);
         EXPECT_EQ(participant.group(), "h");
         EXPECT_EQ(participant.term(), 0U);
     });
@@ -177,7 +177,7 @@
 
 TEST(MapParticipant, UnconfirmedSwitchIsReportedAsUncertain)
 {
-    withParticipant([](map_participant& participant, told_engine&) {
+    withParticipant([](map_participant& participant, scripted_engine&) {
         const wire::rank_arm arm { .scope = scope(1), .version = 7, .step = 100 };
         (void)participant.answer(arm, clock_type::now() + 60ms);
         const auto state = participant.answer(wire::rank_query { .scope = scope(1) }, clock_type::now() + 1s);
@@ -189,29 +189,29 @@
 
 TEST(MapParticipant, RestartedEngineKeepsNoEarlierOrders)
 {
-    withParticipant([](map_participant& participant, told_engine& engine) {
-        engine.told.life = engine_life(1);
+    withParticipant([](map_participant& participant, scripted_engine& engine) {
+        engine.nextReport.life = engine_life(1);
         const wire::rank_arm arm { .scope = scope(1), .version = 7, .step = 100 };
         (void)participant.answer(arm, clock_type::now() + 60ms);
-        engine.told.life = engine_life(2);
+        engine.nextReport.life = engine_life(2);
         const wire::rank_query query { .scope = scope(1) };
         auto state = participant.answer(query, clock_type::now() + 1s);
         ASSERT_TRUE(state);
         EXPECT_EQ(state->armedVersion, 0U);
         EXPECT_FALSE(participant.isArmed());
         EXPECT_EQ(state->life, 2U);
-        engine.told.life = engine_life(1);
+        engine.nextReport.life = engine_life(1);
         EXPECT_FALSE(participant.answer(query, clock_type::now() + 1s)) << "a report from before the restart";
     });
 }
 
 TEST(MapParticipant, AllCountsOfARestartedEngineAreNewEvenIfTheyIncreased)
 {
-    withParticipant([](map_participant& participant, told_engine& engine) {
-        engine.told.life = engine_life(1);
+    withParticipant([](map_participant& participant, scripted_engine& engine) {
+        engine.nextReport.life = engine_life(1);
         engine.counts = { 10, 5 };
         (void)askDemand(participant, 1);
-        engine.told.life = engine_life(2);
+        engine.nextReport.life = engine_life(2);
         engine.counts = { 30, 40 };
         EXPECT_EQ(askDemand(participant, 1), (std::vector<std::uint32_t> { 30, 40 }));
     });
@@ -219,7 +219,7 @@
 
 TEST(MapParticipant, ChangesToAnUnknownMapRequestTheWholeMap)
 {
-    withParticipant([](map_participant& participant, told_engine& engine) {
+    withParticipant([](map_participant& participant, scripted_engine& engine) {
         wire::rank_prepare changes;
         changes.scope = scope(1);
         changes.version = 9;
--- a/coltsfootbend/group/news_schedule.h
+++ b/coltsfootbend/group/news_schedule.h
@@ -19,9 +19,9 @@
 public:
     struct options {
         // Interval between updates up to `engines`.
-        duration usual = std::chrono::milliseconds(100);
+        duration usualInterval = std::chrono::milliseconds(100);
         // Longest interval between updates. Gateways use a report for 1.5 times as long.
-        duration longest = std::chrono::milliseconds(1000);
+        duration longestInterval = std::chrono::milliseconds(1000);
         // Number of engines up to which updates are sent at the usual interval.
         std::size_t engines = 256;
     };
@@ -48,11 +48,11 @@
     // Returns the interval between updates of one engine; zero if each call of `isDue` may send.
     duration intervalFor(std::size_t engines) const
     {
-        const auto stretched
-            = m_options.usual * static_cast<duration::rep>(engines) / static_cast<duration::rep>(m_options.engines);
+        const auto proportional = m_options.usualInterval * static_cast<duration::rep>(engines)
+            / static_cast<duration::rep>(m_options.engines);
         // The caller's cycle is as long as the usual interval and always slightly late, so waiting for the usual
         // interval as well would skip cycles.
-        return engines <= m_options.engines ? duration::zero() : std::min(stretched, m_options.longest);
+        return engines <= m_options.engines ? duration::zero() : std::min(proportional, m_options.longestInterval);
     }
 
 private:
--- a/coltsfootbend/group/news_schedule_test.cpp
+++ b/coltsfootbend/group/news_schedule_test.cpp
@@ -8,23 +8,23 @@
 using namespace std::chrono_literals;
 
 // Returns the number of updates per second that a gateway receives from this many engines.
-double newsPerSecond(std::size_t engines)
+double updatesPerSecond(std::size_t engines)
 {
     news_schedule schedule;
-    int told = 0;
+    int sent = 0;
     const time_point start { 1h };
     for (auto now = start; now < start + 60s; now += 100ms)
-        told += schedule.isDue(engines, false, now) ? 1 : 0;
-    return static_cast<double>(engines) * told / 60;
+        sent += schedule.isDue(engines, false, now) ? 1 : 0;
+    return static_cast<double>(engines) * sent / 60;
 }
 
 // With ten updates per second from each of 3,000 engines, a gateway spends most of its processor on updates.
 TEST(NewsSchedule, UpdatesPerGatewayDoNotGrowWithTheNumberOfEngines)
 {
-    EXPECT_NEAR(newsPerSecond(129), 1290, 10) << "at the usual rate";
-    EXPECT_LE(newsPerSecond(300), 3000);
-    EXPECT_LE(newsPerSecond(1000), 2700);
-    EXPECT_LE(newsPerSecond(3000), 3100);
+    EXPECT_NEAR(updatesPerSecond(129), 1290, 10) << "at the usual rate";
+    EXPECT_LE(updatesPerSecond(300), 3000);
+    EXPECT_LE(updatesPerSecond(1000), 2700);
+    EXPECT_LE(updatesPerSecond(3000), 3100);
 }
 
 TEST(NewsSchedule, LongestIntervalIsShorterThanTheValidityOfAReport)
--- a/coltsfootbend/group/order_relay.cpp
+++ b/coltsfootbend/group/order_relay.cpp
@@ -37,11 +37,11 @@
     if (byDataCentre.empty())
         return branches;
     splitEvenly(byDataCentre.front(), fanOut, branches);
-    const auto near = branches.size();
+    const auto nearBranches = branches.size();
     const auto others = byDataCentre.size() - 1;
-    branches.resize(near + std::min(others, fanOut));
+    branches.resize(nearBranches + std::min(others, fanOut));
     for (std::size_t i = 0; i < others; ++i) {
-        auto& branch = branches[near + i * (branches.size() - near) / others];
+        auto& branch = branches[nearBranches + i * (branches.size() - nearBranches) / others];
         const auto& added = byDataCentre[i + 1];
         branch.insert(branch.end(), added.begin(), added.end());
     }
@@ -58,46 +58,46 @@
 
     const wire::rank_order order;
     gathered_states gathered;
-    std::size_t open = 0;
+    std::size_t pending = 0;
     fiber_signal answered;
 };
 
 gathered_states order_relay::deliver(
     const wire::rank_order& order, const target_list& targets, time_point deadline, const rank_beat& beat)
 {
-    auto round = std::make_shared<delivery>(m_runtime, order);
+    auto current = std::make_shared<delivery>(m_runtime, order);
     auto branches = splitTargets(targets, m_options.fanOut);
-    round->open = branches.size();
+    current->pending = branches.size();
     for (auto& branch : branches) {
-        m_runtime.spawn([this, round, branch = std::move(branch), deadline] {
-            deliverBranch(*round, branch, deadline);
-            --round->open;
-            round->answered.notify();
+        m_runtime.spawn([this, current, branch = std::move(branch), deadline] {
+            deliverBranch(*current, branch, deadline);
+            --current->pending;
+            current->answered.notify();
         });
     }
     auto beatAt = beat.beat ? clock_type::now() + beat.every : time_point::max();
-    while (round->open > 0 && clock_type::now() < deadline) {
-        (void)round->answered.waitUntil(std::min(deadline, beatAt));
+    while (current->pending > 0 && clock_type::now() < deadline) {
+        (void)current->answered.waitUntil(std::min(deadline, beatAt));
         if (clock_type::now() >= beatAt) {
             beat.beat();
             beatAt = clock_type::now() + beat.every;
         }
     }
-    return std::move(round->gathered);
+    return std::move(current->gathered);
 }
 
 // Sends the order for the whole branch to its first target. If that target does not accept it, the next target takes
 // its place, and the failed one gets no order.
-void order_relay::deliverBranch(delivery& round, const target_list& branch, time_point deadline)
+void order_relay::deliverBranch(delivery& current, const target_list& branch, time_point deadline)
 {
     for (std::size_t first = 0; first < branch.size(); ++first) {
         const auto now = clock_type::now();
         const auto limit = deadline - m_options.hopSlack;
         if (now >= limit)
             return;
-        if (isSilent(branch[first].host))
+        if (isUnresponsive(branch[first].host))
             continue;
-        const wire::relayed_order message { .order = round.order,
+        const wire::relayed_order message { .order = current.order,
             .own = branch[first],
             .others = { branch.begin() + static_cast<std::ptrdiff_t>(first) + 1, branch.end() },
             .timeLeftMs
@@ -105,25 +105,25 @@
         const auto answers = m_transport.send(message, deadline);
         if (answers) {
             for (auto& state : unpackStates(*answers))
-                round.gathered.states.push_back(std::move(state));
-            addCounts(round.gathered.demand, answers->demand);
+                current.gathered.states.push_back(std::move(state));
+            addCounts(current.gathered.demand, answers->demand);
             return;
         }
-        noteSilent(branch[first].host);
+        markUnresponsive(branch[first].host);
     }
 }
 
-void order_relay::noteSilent(const std::string& host)
+void order_relay::markUnresponsive(const std::string& host)
 {
     const auto now = clock_type::now();
-    std::erase_if(m_silentUntil, [now](const auto& entry) { return entry.second <= now; });
-    m_silentUntil[host] = now + m_options.silentPause;
+    std::erase_if(m_unresponsiveUntil, [now](const auto& entry) { return entry.second <= now; });
+    m_unresponsiveUntil[host] = now + m_options.unresponsivePeriod;
 }
 
-bool order_relay::isSilent(const std::string& host) const
+bool order_relay::isUnresponsive(const std::string& host) const
 {
-    const auto found = m_silentUntil.find(host);
-    return found != m_silentUntil.end() && clock_type::now() < found->second;
+    const auto found = m_unresponsiveUntil.find(host);
+    return found != m_unresponsiveUntil.end() && clock_type::now() < found->second;
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/order_relay.h
+++ b/coltsfootbend/group/order_relay.h
@@ -56,7 +56,7 @@
         // change of maps faster, but increases what the leader sends and receives.
         std::size_t fanOut = 3;
         // Time for which an agent that did not accept an order is bypassed.
-        duration silentPause = std::chrono::milliseconds(1000);
+        duration unresponsivePeriod = std::chrono::milliseconds(1000);
         // Subtracted from the remaining time at each hop, so that gathered answers return before the deadline.
         duration hopSlack = std::chrono::milliseconds(15);
     };
@@ -81,13 +81,13 @@
     struct delivery;
 
     void deliverBranch(delivery&, const std::vector<wire::relay_target>& branch, time_point deadline);
-    void noteSilent(const std::string& host);
-    bool isSilent(const std::string& host) const;
+    void markUnresponsive(const std::string& host);
+    bool isUnresponsive(const std::string& host) const;
 
     fiber_runtime& m_runtime;
     relay_transport& m_transport;
     const options m_options;
-    std::map<std::string, time_point> m_silentUntil; // By host; expired entries are removed.
+    std::map<std::string, time_point> m_unresponsiveUntil; // By host; expired entries are removed.
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/order_relay_test.cpp
+++ b/coltsfootbend/group/order_relay_test.cpp
@@ -25,8 +25,8 @@
     return targets;
 }
 
-// Agents that relay orders to each other in memory. Agents in `gone` do not accept orders; agents in `dies` terminate
-// after relaying the order, before they answer.
+// Agents that relay orders to each other in memory. Agents in `unreachable` do not accept orders; agents in
+// `terminating` terminate after relaying the order, before they answer.
 class model_agents final : public relay_transport {
 public:
     model_agents(fiber_runtime& runtime, std::uint32_t ranks)
@@ -41,13 +41,13 @@
         ++messages;
         bytes += wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = order }).size();
         m_runtime.sleepFor(1ms);
-        if (gone.contains(order.own.number)) {
+        if (unreachable.contains(order.own.number)) {
             m_runtime.sleepFor(20ms);
             return fail(error_kind::TimedOut, "the agent is unreachable");
         }
         const auto limit = clock_type::now() + std::chrono::milliseconds(order.timeLeftMs);
         auto gathered = m_relay.deliver(order.order, order.others, limit);
-        if (dies.contains(order.own.number))
+        if (terminating.contains(order.own.number))
             return fail(error_kind::Lost, "the agent terminated before its answer");
         wire::rank_state own;
         own.rank = order.own.number;
@@ -62,8 +62,8 @@
 
     order_relay& relay() { return m_relay; }
 
-    std::set<std::uint32_t> gone;
-    std::set<std::uint32_t> dies;
+    std::set<std::uint32_t> unreachable;
+    std::set<std::uint32_t> terminating;
     std::size_t messages = 0;
     std::size_t bytes = 0;
 
@@ -114,14 +114,14 @@
 TEST(OrderRelay, OrderIsSentOnceToEachOtherDataCentre)
 {
     constexpr std::uint32_t dataCentres = 5;
-    std::size_t crossing = 0;
+    std::size_t remoteBranches = 0;
     for (const auto& branch : splitTargets(targetsOf(129, dataCentres), 6)) {
         const bool isNear = branch.front().dataCentre == 0;
-        crossing += isNear ? 0 : 1;
+        remoteBranches += isNear ? 0 : 1;
         for (const auto& target : branch)
             EXPECT_EQ(target.dataCentre, branch.front().dataCentre);
     }
-    EXPECT_EQ(crossing, dataCentres - 1);
+    EXPECT_EQ(remoteBranches, dataCentres - 1);
 }
 
 TEST(OrderRelay, AllRanksAnswerAndTheirCountsAreSummed)
@@ -143,14 +143,14 @@
     withAgents(ranks, [](model_agents& agents) {
         const auto targets = targetsOf(ranks, 3);
         for (const auto& branch : splitTargets(targets, order_relay::options {}.fanOut))
-            agents.gone.insert(branch.front().number);
-        const auto begun = clock_type::now();
-        const auto got = agents.relay().deliver(wire::rank_query {}, targets, begun + 2s);
-        EXPECT_EQ(numbersOf(got).size(), ranks - agents.gone.size());
-        EXPECT_LT(clock_type::now() - begun, 500ms) << "does not wait for the deadline";
+            agents.unreachable.insert(branch.front().number);
+        const auto startedAt = clock_type::now();
+        const auto got = agents.relay().deliver(wire::rank_query {}, targets, startedAt + 2s);
+        EXPECT_EQ(numbersOf(got).size(), ranks - agents.unreachable.size());
+        EXPECT_LT(clock_type::now() - startedAt, 500ms) << "does not wait for the deadline";
         agents.messages = 0;
         (void)agents.relay().deliver(wire::rank_query {}, targets, clock_type::now() + 2s);
-        EXPECT_EQ(agents.messages, ranks - agents.gone.size()) << "unreachable agents are not retried at once";
+        EXPECT_EQ(agents.messages, ranks - agents.unreachable.size()) << "unreachable agents are not retried at once";
     });
 }
 
@@ -159,7 +159,7 @@
     constexpr std::uint32_t ranks = 63;
     withAgents(ranks, [](model_agents& agents) {
         const auto targets = targetsOf(ranks, 3);
-        agents.dies.insert(splitTargets(targets, order_relay::options {}.fanOut).back().front().number);
+        agents.terminating.insert(splitTargets(targets, order_relay::options {}.fanOut).back().front().number);
         const auto got = agents.relay().deliver(wire::rank_query {}, targets, clock_type::now() + 2s);
         EXPECT_EQ(numbersOf(got).size(), ranks - 1);
     });
@@ -171,22 +171,22 @@
     constexpr std::uint32_t ranks = 40;
     withAgents(ranks, [](model_agents& agents) {
         for (std::uint32_t rank = 0; rank < ranks; ++rank)
-            agents.gone.insert(rank);
-        const auto begun = clock_type::now();
-        const auto got = agents.relay().deliver(wire::rank_query {}, targetsOf(ranks, 2), begun + 100ms);
+            agents.unreachable.insert(rank);
+        const auto startedAt = clock_type::now();
+        const auto got = agents.relay().deliver(wire::rank_query {}, targetsOf(ranks, 2), startedAt + 100ms);
         EXPECT_TRUE(got.states.empty());
-        EXPECT_LT(clock_type::now() - begun, 200ms);
+        EXPECT_LT(clock_type::now() - startedAt, 200ms);
     });
 }
 
 TEST(OrderRelay, HeartbeatsAreSentDuringALongDelivery)
 {
     withAgents(4, [](model_agents& agents) {
-        agents.gone = { 0, 1, 2, 3 };
-        int beats = 0;
+        agents.unreachable = { 0, 1, 2, 3 };
+        int heartbeats = 0;
         (void)agents.relay().deliver(wire::rank_query {}, targetsOf(4, 1), clock_type::now() + 300ms,
-            { .every = 5ms, .beat = [&beats] { ++beats; } });
-        EXPECT_GE(beats, 2);
+            { .every = 5ms, .beat = [&heartbeats] { ++heartbeats; } });
+        EXPECT_GE(heartbeats, 2);
     });
 }
 
--- a/coltsfootbend/group/rank_agent.cpp
+++ b/coltsfootbend/group/rank_agent.cpp
@@ -30,7 +30,7 @@
 
 std::optional<map_version> rank_agent::grant(step_number step)
 {
-    if (!m_joined || step > m_limit)
+    if (!m_hasJoined || step > m_limit)
         return std::nullopt;
     const auto map = m_schedule.mapAt(step);
     if (map.isNone() || !m_loaded.contains(map))
@@ -51,7 +51,7 @@
         return switch_refused { message.epoch, m_preparedFor };
     if (m_loaded.contains(message.map))
         return map_loaded { message.epoch, message.map };
-    m_wanted = message.map;
+    m_mapToLoad = message.map;
     return std::nullopt;
 }
 
@@ -68,22 +68,22 @@
             break;
         m_loaded.erase(unused);
     }
-    if (m_wanted != map)
+    if (m_mapToLoad != map)
         return std::nullopt;
-    m_wanted.reset();
-    wantNextMap();
+    m_mapToLoad.reset();
+    selectNextMap();
     return map_loaded { m_preparedFor, map };
 }
 
 // A new incarnation may have to run steps under earlier maps than the one that it was ordered to prepare. Maps that
 // apply only to steps already granted are skipped.
-void rank_agent::wantNextMap()
+void rank_agent::selectNextMap()
 {
     const auto& segments = m_schedule.segments;
-    for (std::size_t i = 0; i < segments.size() && !m_wanted; ++i) {
+    for (std::size_t i = 0; i < segments.size() && !m_mapToLoad; ++i) {
         const bool isPast = i + 1 < segments.size() && segments[i + 1].from <= m_granted + 1;
         if (!isPast && !m_loaded.contains(segments[i].map))
-            m_wanted = segments[i].map;
+            m_mapToLoad = segments[i].map;
     }
 }
 
@@ -94,7 +94,7 @@
     if (message.epoch > m_promised) {
         m_promised = message.epoch;
         // An existing limit is not raised, because it may have been reported to an earlier coordinator.
-        m_limit = std::min(m_limit, m_granted + (m_joined ? m_options.lead : 0));
+        m_limit = std::min(m_limit, m_granted + (m_hasJoined ? m_options.promiseMargin : 0));
     }
     return switch_promised { message.epoch, m_options.life, m_limit, m_schedule };
 }
@@ -113,15 +113,15 @@
     auto& segments = m_schedule.segments;
     while (segments.size() > 1 && segments[1].from + maxGrantAhead <= m_granted)
         segments.erase(segments.begin());
-    wantNextMap();
-    m_joined = true;
+    selectNextMap();
+    m_hasJoined = true;
     m_limit = unlimited;
     return switch_applied { message.epoch, m_options.life };
 }
 
 std::optional<rank_message> rank_agent::on(const release_promise& message)
 {
-    if (message.epoch == m_promised && m_joined)
+    if (message.epoch == m_promised && m_hasJoined)
         m_limit = unlimited;
     return std::nullopt;
 }
--- a/coltsfootbend/group/rank_agent.h
+++ b/coltsfootbend/group/rank_agent.h
@@ -24,7 +24,7 @@
         rank_number rank = 0;
         incarnation life; // Of this agent's process.
         // Number of steps that a promise allows beyond those already granted; long enough for a decision to arrive.
-        step_number lead = 64;
+        step_number promiseMargin = 64;
         // Last step that the engine ran, or was granted and may still run, before this incarnation.
         step_number engineAt = 0;
     };
@@ -45,14 +45,14 @@
     std::optional<rank_message> loaded(map_version);
 
     // Map that the engine should load next; none if there is nothing to load.
-    std::optional<map_version> wantedMap() const { return m_wanted; }
+    std::optional<map_version> wantedMap() const { return m_mapToLoad; }
 
     const map_schedule& schedule() const { return m_schedule; }
     step_number granted() const { return m_granted; }
     // Last step that may be granted now.
     step_number limit() const { return m_limit; }
     // False in a new incarnation until a decision includes it; no step is granted before.
-    bool hasJoined() const { return m_joined; }
+    bool hasJoined() const { return m_hasJoined; }
 
 private:
     static constexpr step_number unlimited = std::numeric_limits<step_number>::max();
@@ -62,17 +62,17 @@
     std::optional<rank_message> on(const decide_switch&);
     std::optional<rank_message> on(const release_promise&);
 
-    void wantNextMap();
+    void selectNextMap();
 
     const options m_options;
     map_schedule m_schedule;
     map_epoch m_promised;
     map_epoch m_preparedFor;
-    std::optional<map_version> m_wanted;
+    std::optional<map_version> m_mapToLoad;
     std::set<map_version> m_loaded;
     step_number m_granted;
     step_number m_limit;
-    bool m_joined = false;
+    bool m_hasJoined = false;
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/rank_agent_test.cpp
+++ b/coltsfootbend/group/rank_agent_test.cpp
@@ -12,7 +12,7 @@
 // Returns an agent that has joined with a decision of epoch 1 to run under `oldMap` from step 1 on.
 rank_agent joinedAgent()
 {
-    rank_agent agent({ .rank = 0, .life = life, .lead = 10 });
+    rank_agent agent({ .rank = 0, .life = life, .promiseMargin = 10 });
     (void)agent.loaded(oldMap);
     (void)agent.handle(propose_switch { { 1, 1 }, oldMap });
     (void)agent.handle(decide_switch { { 1, 1 }, { { 1, 1 }, { { 1, oldMap } } }, { life } });
--- a/coltsfootbend/group/rank_channel.cpp
+++ b/coltsfootbend/group/rank_channel.cpp
@@ -12,27 +12,27 @@
 // Maximum number of agents that are marked as unresponsive after one order. The engine of such an agent is called from
 // the leader's VM for a while, which costs the leader one connection each. If more answers are missing at once, a
 // branch of the relay tree was lost rather than single agents, and the next order is relayed to them again.
-constexpr std::size_t mostPassedOver = 8;
+constexpr std::size_t maxMarkedUnresponsive = 8;
 // Time to wait after the deadline for the fiber that collects direct answers, which ends at the same deadline.
-constexpr std::chrono::milliseconds directSlack { 10 };
+constexpr std::chrono::milliseconds directAnswerGrace { 10 };
 
 // Answers to one call of `direct_dispatcher::dispatch`. Outlive the call, because a rank may answer after the deadline.
-struct direct_round {
-    explicit direct_round(fiber_runtime& runtime)
+struct direct_requests {
+    explicit direct_requests(fiber_runtime& runtime)
         : answered(runtime)
     {
     }
 
     std::vector<result<wire::rank_state>> answers;
-    std::size_t open = 0;
+    std::size_t pending = 0;
     fiber_signal answered;
 };
 
-tl::unexpected<error> notAnswered() { return fail(error_kind::TimedOut, "the rank did not answer", ""); }
+tl::unexpected<error> noAnswerError() { return fail(error_kind::TimedOut, "the rank did not answer", ""); }
 
 // Sorts the targets so that those of one data centre are adjacent, with the leader's data centre (number 0) first. The
 // same ranks always give the same tree.
-std::vector<wire::relay_target> inTreeOrder(std::vector<wire::relay_target> targets)
+std::vector<wire::relay_target> sortedByDataCentre(std::vector<wire::relay_target> targets)
 {
     std::sort(targets.begin(), targets.end(),
         [](const auto& a, const auto& b) { return std::tie(a.dataCentre, a.host) < std::tie(b.dataCentre, b.host); });
@@ -40,37 +40,38 @@
 }
 
 // The addressees, by the way in which the order is sent to them.
-struct ways_to_ranks {
+struct partitioned_addressees {
     std::vector<wire::relay_target> targets; // Relayed; the target's number is the index of the addressee.
-    std::vector<addressee> passedOver; // Sent directly.
-    std::vector<std::size_t> passedOverAt; // Their indices among the addressees.
+    std::vector<addressee> directAddressees; // Sent directly.
+    std::vector<std::size_t> directIndices; // Their indices among the addressees.
 };
 
-ways_to_ranks waysTo(const std::vector<addressee>& to)
+partitioned_addressees partitionAddressees(const std::vector<addressee>& to)
 {
-    ways_to_ranks ways;
+    partitioned_addressees partition;
     for (std::size_t i = 0; i < to.size(); ++i) {
         if (to[i].channel->isAskedDirectly()) {
-            ways.passedOver.push_back(to[i]);
-            ways.passedOverAt.push_back(i);
+            partition.directAddressees.push_back(to[i]);
+            partition.directIndices.push_back(i);
             continue;
         }
         auto target = to[i].channel->relayTarget();
         target.number = static_cast<std::uint32_t>(i);
         target.life = to[i].life;
         target.tellsDemand = to[i].tellsDemand;
-        ways.targets.push_back(std::move(target));
+        partition.targets.push_back(std::move(target));
     }
-    return ways;
+    return partition;
 }
 
 // Notifies the channels which ranks answered.
-void noteRelayed(const ways_to_ranks& ways, const std::vector<addressee>& to, const carried_order& carried)
+void noteRelayed(
+    const partitioned_addressees& partition, const std::vector<addressee>& to, const carried_order& carried)
 {
-    const auto missing = std::count_if(
-        ways.targets.begin(), ways.targets.end(), [&](const auto& target) { return !carried.states[target.number]; });
-    const bool isBranchLost = static_cast<std::size_t>(missing) > mostPassedOver;
-    for (const auto& target : ways.targets) {
+    const auto missing = std::count_if(partition.targets.begin(), partition.targets.end(),
+        [&](const auto& target) { return !carried.states[target.number]; });
+    const bool isBranchLost = static_cast<std::size_t>(missing) > maxMarkedUnresponsive;
+    for (const auto& target : partition.targets) {
         const auto& state = carried.states[target.number];
         if (state || !isBranchLost)
             to[target.number].channel->noteRelayed(state);
@@ -78,8 +79,8 @@
 }
 
 // Answers of the ranks that receive the order directly. Outlive the call, because they may arrive after the deadline.
-struct direct_part {
-    explicit direct_part(fiber_runtime& runtime)
+struct direct_answers {
+    explicit direct_answers(fiber_runtime& runtime)
         : answered(runtime)
     {
     }
@@ -101,50 +102,50 @@
 carried_order direct_carrier::carry(
     const wire::rank_order& order, const std::vector<addressee>& to, time_point deadline, const rank_beat& beat)
 {
-    auto round = std::make_shared<direct_round>(m_runtime);
-    round->open = to.size();
-    round->answers.assign(to.size(), notAnswered());
+    auto requests = std::make_shared<direct_requests>(m_runtime);
+    requests->pending = to.size();
+    requests->answers.assign(to.size(), noAnswerError());
     for (std::size_t i = 0; i < to.size(); ++i) {
-        m_runtime.spawn([round, i, to = to[i], order, deadline] {
-            round->answers[i] = to.channel->ask(orderFor(order, to.life, to.tellsDemand), deadline);
-            --round->open;
-            round->answered.notify();
+        m_runtime.spawn([requests, i, to = to[i], order, deadline] {
+            requests->answers[i] = to.channel->ask(orderFor(order, to.life, to.tellsDemand), deadline);
+            --requests->pending;
+            requests->answered.notify();
         });
     }
     auto beatAt = beat.beat ? clock_type::now() + beat.every : time_point::max();
-    while (round->open > 0 && clock_type::now() < deadline) {
-        (void)round->answered.waitUntil(std::min(deadline, beatAt));
+    while (requests->pending > 0 && clock_type::now() < deadline) {
+        (void)requests->answered.waitUntil(std::min(deadline, beatAt));
         if (clock_type::now() >= beatAt) {
             beat.beat();
             beatAt = clock_type::now() + beat.every;
         }
     }
-    return { round->answers, {} };
+    return { requests->answers, {} };
 }
 
 carried_order relay_carrier::carry(
     const wire::rank_order& order, const std::vector<addressee>& to, time_point deadline, const rank_beat& beat)
 {
-    const auto ways = waysTo(to);
-    auto direct = std::make_shared<direct_part>(m_runtime);
-    if (!ways.passedOver.empty()) {
-        m_runtime.spawn([this, order, passedOver = ways.passedOver, deadline, direct] {
-            direct->states = m_direct.carry(order, passedOver, deadline, {}).states;
+    const auto partition = partitionAddressees(to);
+    auto direct = std::make_shared<direct_answers>(m_runtime);
+    if (!partition.directAddressees.empty()) {
+        m_runtime.spawn([this, order, directAddressees = partition.directAddressees, deadline, direct] {
+            direct->states = m_direct.carry(order, directAddressees, deadline, {}).states;
             direct->answered.notify();
         });
     }
-    auto gathered = m_relay.deliver(order, inTreeOrder(ways.targets), deadline, beat);
-    carried_order carried { std::vector<result<wire::rank_state>>(to.size(), notAnswered()),
+    auto gathered = m_relay.deliver(order, sortedByDataCentre(partition.targets), deadline, beat);
+    carried_order carried { std::vector<result<wire::rank_state>>(to.size(), noAnswerError()),
         std::move(gathered.demand) };
     for (auto& state : gathered.states) {
         if (state.target < to.size())
             carried.states[state.target] = std::move(state);
     }
-    noteRelayed(ways, to, carried);
-    if (!ways.passedOver.empty() && direct->states.empty())
-        (void)direct->answered.waitUntil(deadline + directSlack);
+    noteRelayed(partition, to, carried);
+    if (!partition.directAddressees.empty() && direct->states.empty())
+        (void)direct->answered.waitUntil(deadline + directAnswerGrace);
     for (std::size_t i = 0; i < direct->states.size(); ++i)
-        carried.states[ways.passedOverAt[i]] = direct->states[i];
+        carried.states[partition.directIndices[i]] = direct->states[i];
     return carried;
 }
 
--- a/coltsfootbend/group/rank_engine.h
+++ b/coltsfootbend/group/rank_engine.h
@@ -35,7 +35,7 @@
     group_epoch epoch = 0;
     rank_number rank = 0;
     rank_number ranks = 0; // Size of the group.
-    bool isOpen = false; // The group is complete and runs passes.
+    bool isOpen = false; // False from the loss of a rank until the group is formed again.
 };
 
 // One formation of a group together with the incarnation of one rank's engine. Orders given in another formation are no
--- a/coltsfootbend/group/rank_orders.h
+++ b/coltsfootbend/group/rank_orders.h
@@ -19,15 +19,15 @@
 public:
     struct options {
         // Timeout of one order. An engine answers at once or not at all, but the first calls of a process are slower.
-        duration answerLimit = std::chrono::milliseconds(40);
+        duration answerTimeout = std::chrono::milliseconds(40);
         // Timeout of reading one report.
-        duration reportLimit = std::chrono::milliseconds(120);
+        duration reportTimeout = std::chrono::milliseconds(120);
         // Interval between reading reports.
-        duration lookEvery = std::chrono::milliseconds(8);
+        duration reportInterval = std::chrono::milliseconds(8);
         // Time after which an unconfirmed order is sent again.
-        duration repeatAfter = std::chrono::milliseconds(16);
+        duration retryInterval = std::chrono::milliseconds(16);
         // Maximum time for copying the experts that a prepared map needs.
-        duration copyLimit = std::chrono::milliseconds(2500);
+        duration copyTimeout = std::chrono::milliseconds(2500);
     };
     // Returns false once another leader has taken over or the order is superseded; no more orders are sent then.
     using is_current = std::function<bool()>;
@@ -53,20 +53,23 @@
     result<rank_report> release(const group_formation&, pass_number step, time_point deadline, const is_current&);
 
     // Discards the record of orders after a restart of the engine, which cannot carry out earlier orders any more.
-    void forget();
+    void reset();
 
     // Returns a switch that was ordered in `epoch` but not confirmed; the engine may still carry it out.
     std::optional<armed_switch> uncertainSwitch(group_epoch epoch) const;
     // Returns the highest map version that was ever ordered in `epoch`, or 0.
-    engine_map_version highestOrdered(group_epoch epoch) const { return epoch == m_epoch ? m_highest : 0; }
+    engine_map_version highestOrderedVersion(group_epoch epoch) const
+    {
+        return epoch == m_epoch ? m_highestVersion : 0;
+    }
 
 private:
     enum class confirmation { Confirmed, Pending, Impossible };
-    using issue_order = std::function<result<void>(time_point deadline)>;
-    using judge_report = std::function<confirmation(const rank_report&)>;
+    using send_order = std::function<result<void>(time_point deadline)>;
+    using check_report = std::function<confirmation(const rank_report&)>;
 
-    result<rank_report> untilConfirmed(
-        const issue_order&, const judge_report&, duration repeatAfter, time_point deadline, const is_current&);
+    result<rank_report> repeatUntilConfirmed(
+        const send_order&, const check_report&, duration retryInterval, time_point deadline, const is_current&);
     void enterEpoch(group_epoch);
 
     fiber_runtime& m_runtime;
@@ -75,8 +78,8 @@
     // Orders name an epoch but no group, so a late order may be carried out in another group with the same epoch
     // number. The record is therefore kept by epoch, regardless of the group.
     group_epoch m_epoch = 0;
-    std::optional<armed_switch> m_uncertain;
-    engine_map_version m_highest = 0;
+    std::optional<armed_switch> m_uncertainSwitch;
+    engine_map_version m_highestVersion = 0;
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -15,39 +15,39 @@
 
 // Interval at which the engine's load is read and may be sent. Gateways use a report for longer, so one or two lost
 // datagrams do no harm.
-constexpr std::chrono::milliseconds newsEvery { 100 };
-constexpr std::chrono::milliseconds reportLimit { 300 };
+constexpr std::chrono::milliseconds loadUpdateInterval { 100 };
+constexpr std::chrono::milliseconds reportTimeout { 300 };
 // Time after its last message for which a gateway is sent updates.
-constexpr std::chrono::seconds subscriptionLength { 3 };
+constexpr std::chrono::seconds subscriptionLifetime { 3 };
 // Subtracted from the time of an order, so that the answer arrives before the leader's deadline.
-constexpr std::chrono::milliseconds orderSlack { 100 };
-constexpr std::chrono::milliseconds prepareAnswerLimit { 2500 };
-constexpr std::chrono::milliseconds armAnswerLimit { 800 };
-constexpr std::chrono::milliseconds queryAnswerLimit { 250 };
+constexpr std::chrono::milliseconds answerMargin { 100 };
+constexpr std::chrono::milliseconds prepareTimeout { 2500 };
+constexpr std::chrono::milliseconds armTimeout { 800 };
+constexpr std::chrono::milliseconds queryTimeout { 250 };
 // Timeout of a port probe; shorter than the timeout of the requesting gateway, which is in the same data centre.
-constexpr std::chrono::milliseconds portLookLimit { 200 };
+constexpr std::chrono::milliseconds portProbeTimeout { 200 };
 
 // Time without a leader's message after which rank 0 takes over. A leader sends several messages per second. Each
 // further rank waits longer, so that normally only one of them takes over.
-constexpr std::chrono::milliseconds leaderSilence { 1200 };
-constexpr std::chrono::milliseconds silencePerRank { 250 };
+constexpr std::chrono::milliseconds leaderTimeout { 1200 };
+constexpr std::chrono::milliseconds leaderTimeoutPerRank { 250 };
 // The same after the start of an agent, which is long enough to receive one message of a leader, if there is one.
-constexpr std::chrono::milliseconds silenceAfterStart { 500 };
+constexpr std::chrono::milliseconds startupLeaderTimeout { 500 };
 // The same while a switch is armed: the group may be stalled until a leader completes the switch.
-constexpr std::chrono::milliseconds armedSilence { 400 };
-constexpr std::chrono::milliseconds armedSilencePerRank { 60 };
+constexpr std::chrono::milliseconds armedLeaderTimeout { 400 };
+constexpr std::chrono::milliseconds armedLeaderTimeoutPerRank { 60 };
 // The same while a map is prepared: the leader may already be holding the group for the change.
-constexpr std::chrono::milliseconds preparedSilence { 600 };
+constexpr std::chrono::milliseconds preparedLeaderTimeout { 600 };
 // Ranks from this number on wait equally long.
-constexpr rank_number ranksInTurn = 32;
+constexpr rank_number maxStaggeredRanks = 32;
 // Maximum time for copying experts in one change, about two passes under a poor map. Without a limit, running streams
 // pause for longer than callers accept.
-constexpr std::chrono::milliseconds mostCopyTime { 110 };
+constexpr std::chrono::milliseconds maxCopyTime { 110 };
 // Interval at which a rank checks whether to take over.
-constexpr std::chrono::milliseconds followCycle { 50 };
+constexpr std::chrono::milliseconds followInterval { 50 };
 
 // Returns whether the group changed, was formed again, broke or opened, which gateways must be notified of at once.
-bool isOtherGroup(const std::optional<group_membership>& before, const std::optional<group_membership>& after)
+bool hasGroupChanged(const std::optional<group_membership>& before, const std::optional<group_membership>& after)
 {
     if (!before || !after)
         return before.has_value() != after.has_value();
@@ -56,11 +56,11 @@
 
 } // namespace
 
-rank_service::rank_service(fiber_runtime& runtime, const daemon_settings& settings, engine_source engineAt)
+rank_service::rank_service(fiber_runtime& runtime, const daemon_settings& settings, engine_factory makeEngine)
     : m_runtime(runtime)
     , m_settings(settings)
-    , m_engineAt(std::move(engineAt))
-    , m_engine(m_engineAt(settings.rankAgent->engine))
+    , m_makeEngine(std::move(makeEngine))
+    , m_engine(m_makeEngine(settings.rankAgent->engine))
     , m_participant(runtime, *m_engine)
 {
 }
@@ -81,78 +81,79 @@
     m_relay = std::make_unique<order_relay>(m_runtime, *m_transport);
     m_carrier = std::make_unique<relay_carrier>(m_runtime, *m_relay);
     m_node = std::make_unique<relay_node>(m_runtime, m_participant, *m_relay);
-    answerPeers();
-    m_node->answerPeers(*m_peers);
-    auto news = datagram_socket::open(m_runtime, m_settings.peers);
-    if (!news)
-        return tl::unexpected(news.error());
-    m_news = std::move(*news);
-    m_crashChannel = std::make_unique<datagram_crash_channel>(m_settings.vm, *m_news);
+    registerHandlers();
+    m_node->registerHandler(*m_peers);
+    auto datagrams = datagram_socket::open(m_runtime, m_settings.peers);
+    if (!datagrams)
+        return tl::unexpected(datagrams.error());
+    m_datagrams = std::move(*datagrams);
+    m_crashChannel = std::make_unique<datagram_crash_channel>(m_settings.vm, *m_datagrams);
     m_gossip = std::make_unique<crash_gossip>(m_crashes, *m_crashChannel);
     m_permits
         = std::make_unique<permit_desk>(m_runtime, [this](const endpoint& gateway, const wire::permit_reply& reply) {
-              m_news->send(gateway,
+              m_datagrams->send(gateway,
                   wire::encode({ .sender = m_settings.vm, .senderLife = {}, .version = {}, .content = reply }));
           });
-    m_runtime.spawn([this] { newsLoop(); });
+    m_runtime.spawn([this] { loadUpdateLoop(); });
     m_runtime.spawn([this] { receiveLoop(); });
-    m_runtime.spawn([this] { leadLoop(); });
+    m_runtime.spawn([this] { leaderLoop(); });
     return {};
 }
 
-void rank_service::answerPeers()
+void rank_service::registerHandlers()
 {
-    const auto answer = [this](peer_stream& stream, const wire::rank_order& asked, duration limit) {
-        const auto state = m_participant.answer(asked, clock_type::now() + limit);
+    const auto answer = [this](peer_stream& stream, const wire::rank_order& order, duration limit) {
+        const auto state = m_participant.answer(order, clock_type::now() + limit);
         if (state)
             (void)stream.send(*state, true);
         else
             (void)stream.send(toProblem(state.error()), true);
     };
-    m_peers->on<wire::rank_query>([answer](peer_stream& stream, const wire::message&, const wire::rank_query& asked) {
-        answer(stream, asked, queryAnswerLimit);
-    });
-    m_peers->on<wire::port_inquiry>([this](peer_stream& stream, const wire::message&, const wire::port_inquiry& asked) {
-        (void)stream.send(lookAt(asked), true);
+    m_peers->on<wire::rank_query>([answer](peer_stream& stream, const wire::message&, const wire::rank_query& order) {
+        answer(stream, order, queryTimeout);
     });
+    m_peers->on<wire::port_inquiry>(
+        [this](peer_stream& stream, const wire::message&, const wire::port_inquiry& inquiry) {
+            (void)stream.send(probeServerPort(inquiry), true);
+        });
     m_peers->on<wire::rank_prepare>(
-        [answer](peer_stream& stream, const wire::message&, const wire::rank_prepare& asked) {
-            answer(stream, asked, prepareAnswerLimit - orderSlack);
+        [answer](peer_stream& stream, const wire::message&, const wire::rank_prepare& order) {
+            answer(stream, order, prepareTimeout - answerMargin);
         });
-    m_peers->on<wire::rank_arm>([answer](peer_stream& stream, const wire::message&, const wire::rank_arm& asked) {
-        answer(stream, asked, armAnswerLimit - orderSlack);
+    m_peers->on<wire::rank_arm>([answer](peer_stream& stream, const wire::message&, const wire::rank_arm& order) {
+        answer(stream, order, armTimeout - answerMargin);
     });
-    m_peers->on<wire::rank_disarm>([answer](peer_stream& stream, const wire::message&, const wire::rank_disarm& asked) {
-        answer(stream, asked, armAnswerLimit - orderSlack);
+    m_peers->on<wire::rank_disarm>([answer](peer_stream& stream, const wire::message&, const wire::rank_disarm& order) {
+        answer(stream, order, armTimeout - answerMargin);
     });
     m_peers->on<wire::rank_release>(
-        [answer](peer_stream& stream, const wire::message&, const wire::rank_release& asked) {
-            answer(stream, asked, armAnswerLimit - orderSlack);
+        [answer](peer_stream& stream, const wire::message&, const wire::rank_release& order) {
+            answer(stream, order, armTimeout - answerMargin);
         });
 }
 
 // Probes only addresses of backend servers, so that a peer cannot use an agent to probe other addresses.
-wire::port_finding rank_service::lookAt(const wire::port_inquiry& asked)
+wire::port_finding rank_service::probeServerPort(const wire::port_inquiry& inquiry)
 {
-    const auto address = parseEndpoint(asked.address);
+    const auto address = parseEndpoint(inquiry.address);
     const auto& servers = m_watch->directory().servers();
     const auto isServer = [&](const auto& entry) { return address && entry.second.address == *address; };
     if (!address
         || (*address != m_settings.rankAgent->engine && std::none_of(servers.begin(), servers.end(), isServer)))
         return {};
-    const auto port = probePort(m_runtime, *address, clock_type::now() + portLookLimit);
+    const auto port = probePort(m_runtime, *address, clock_type::now() + portProbeTimeout);
     return { .isKnown = port != port_state::Unknown, .isRefused = port == port_state::Refused };
 }
 
 void rank_service::receiveLoop()
 {
-    while (auto got = m_news->receive()) {
+    while (auto got = m_datagrams->receive()) {
         wire::message_decoder decoder(got->bytes.size() + 1);
         decoder.feed(got->bytes);
         const auto message = decoder.next();
         const auto* content = message && *message ? &(*message)->content : nullptr;
         if (const auto* subscription = content ? std::get_if<wire::load_subscribe>(content) : nullptr)
-            hearGateway(got->sender, *subscription);
+            onLoadSubscribe(got->sender, *subscription);
         else if (const auto* crashes = content ? std::get_if<wire::crash_report>(content) : nullptr)
             m_gossip->hear(got->sender, *crashes, clock_type::now());
         else if (const auto* permit = content ? std::get_if<wire::permit_request>(content) : nullptr)
@@ -162,76 +163,76 @@
     }
 }
 
-void rank_service::hearGateway(const endpoint& sender, const wire::load_subscribe& subscription)
+void rank_service::onLoadSubscribe(const endpoint& sender, const wire::load_subscribe& subscription)
 {
     const auto now = clock_type::now();
-    m_subscribers.hear(sender, subscription.knows, now + subscriptionLength, now);
+    m_subscribers.hear(sender, subscription.knows, now + subscriptionLifetime, now);
     m_watch->hearGateway(sender, subscription.knows);
 }
 
-void rank_service::newsLoop()
+void rank_service::loadUpdateLoop()
 {
     while (!m_stopped) {
-        m_runtime.sleepFor(newsEvery);
+        m_runtime.sleepFor(loadUpdateInterval);
         const auto now = clock_type::now();
         m_subscribers.expire(now);
         m_crashes.expire(now);
         m_permits->expire(now);
-        const auto report = m_engine->report(now + reportLimit);
+        const auto report = m_engine->report(now + reportTimeout);
         if (!report) {
             m_metrics->count("engine_reports_failed_total");
             continue;
         }
-        const bool hasChanged = isOtherGroup(m_group, report->group);
+        const bool hasChanged = hasGroupChanged(m_group, report->group);
         m_group = report->group;
         m_participant.observe(*report);
-        if (m_newsSchedule.isDue(m_watch->directory().servers().size(), hasChanged, now))
-            tellLoad(*report);
+        if (m_loadUpdateSchedule.isDue(m_watch->directory().servers().size(), hasChanged, now))
+            sendLoadUpdate(*report);
     }
 }
 
-void rank_service::tellLoad(const rank_report& report)
+void rank_service::sendLoadUpdate(const rank_report& report)
 {
-    wire::load_news news;
-    news.engine = toString(m_settings.rankAgent->engine);
-    news.running = report.running;
-    news.waiting = report.waiting;
-    news.usedTokens = report.usedTokens;
-    news.totalTokens = report.totalTokens;
-    news.pace = report.pace;
-    news.step = report.step;
-    news.life = report.life.number();
-    news.subscribers = static_cast<std::uint32_t>(m_subscribers.all().size());
+    wire::load_news update;
+    update.engine = toString(m_settings.rankAgent->engine);
+    update.running = report.running;
+    update.waiting = report.waiting;
+    update.usedTokens = report.usedTokens;
+    update.totalTokens = report.totalTokens;
+    update.pace = report.pace;
+    update.step = report.step;
+    update.life = report.life.number();
+    update.subscribers = static_cast<std::uint32_t>(m_subscribers.all().size());
     const auto now = clock_type::now();
-    news.configuration = m_subscribers.configuration(now);
-    news.servers = m_subscribers.servers(now);
-    news.crashes = m_crashes.digest();
-    news.limits = m_permits->limits(now);
+    update.configuration = m_subscribers.configuration(now);
+    update.servers = m_subscribers.servers(now);
+    update.crashes = m_crashes.digest();
+    update.limits = m_permits->limits(now);
     if (report.group) {
-        news.group = report.group->name;
-        news.epoch = report.group->epoch;
-        news.isOpen = report.group->isOpen;
-        news.ranks = report.group->ranks;
+        update.group = report.group->name;
+        update.epoch = report.group->epoch;
+        update.isOpen = report.group->isOpen;
+        update.ranks = report.group->ranks;
     }
     const auto encoded
-        = [&] { return wire::encode({ .sender = m_settings.vm, .senderLife = {}, .version = {}, .content = news }); };
-    std::map<wire::store_duty, std::string> usual;
+        = [&] { return wire::encode({ .sender = m_settings.vm, .senderLife = {}, .version = {}, .content = update }); };
+    std::map<wire::store_duty, std::string> encodedByDuty;
     for (const auto& [address, duty] : m_subscribers.duties()) {
-        news.duty = static_cast<std::uint32_t>(duty);
+        update.duty = static_cast<std::uint32_t>(duty);
         const auto* informed = m_subscribers.findInformed(m_subscribers.all().at(address));
-        news.newsAt = informed ? toString(*informed) : "";
+        update.newsAt = informed ? toString(*informed) : "";
         if (informed) {
-            m_news->send(address, encoded());
+            m_datagrams->send(address, encoded());
             continue;
         }
-        auto& bytes = usual[duty];
+        auto& bytes = encodedByDuty[duty];
         if (bytes.empty())
             bytes = encoded();
-        m_news->send(address, bytes);
+        m_datagrams->send(address, bytes);
     }
 }
 
-void rank_service::leadLoop()
+void rank_service::leaderLoop()
 {
     while (!m_stopped)
         m_runtime.sleepFor(leadOrFollow());
@@ -241,31 +242,31 @@
 {
     auto* lead = m_group ? leader() : nullptr;
     if (!lead)
-        return followCycle;
+        return followInterval;
     const auto now = clock_type::now();
     const auto rank = m_group->rank;
     if (m_participant.term() != 0 && leaderOf(m_participant.term()) == rank) {
-        updateOthers();
+        updateOtherRanks();
         return lead->runRound(m_participant.term());
     }
     if (m_participant.heardAt() == time_point {})
         m_participant.yield(0); // The timeout starts when this agent starts.
-    if (now < m_participant.heardAt() + silenceLimit())
-        return followCycle;
+    if (now < m_participant.heardAt() + takeoverTimeout())
+        return followInterval;
     const auto term = m_participant.claim(rank);
     logEvent(log_event::MapLeader,
         "group=" + m_group->name + " rank=" + std::to_string(rank) + " term=" + std::to_string(term));
     return duration::zero();
 }
 
-duration rank_service::silenceLimit() const
+duration rank_service::takeoverTimeout() const
 {
-    const auto turn = std::min(m_group->rank, ranksInTurn);
+    const auto turn = std::min(m_group->rank, maxStaggeredRanks);
     if (m_participant.isArmed())
-        return armedSilence + turn * armedSilencePerRank;
+        return armedLeaderTimeout + turn * armedLeaderTimeoutPerRank;
     if (m_participant.isPrepared())
-        return preparedSilence + turn * armedSilencePerRank;
-    return (m_participant.term() == 0 ? silenceAfterStart : leaderSilence) + turn * silencePerRank;
+        return preparedLeaderTimeout + turn * armedLeaderTimeoutPerRank;
+    return (m_participant.term() == 0 ? startupLeaderTimeout : leaderTimeout) + turn * leaderTimeoutPerRank;
 }
 
 const engine_model* rank_service::engineModel() const
@@ -306,7 +307,7 @@
     if (engine.gigabytesPerSecond <= 0 || engine.expertGigabytes <= 0)
         return std::numeric_limits<std::uint32_t>::max();
     const double copyMs = 1000 * engine.expertGigabytes / engine.gigabytesPerSecond;
-    return std::max(1U, static_cast<std::uint32_t>(toMilliseconds(mostCopyTime) / copyMs));
+    return std::max(1U, static_cast<std::uint32_t>(toMilliseconds(maxCopyTime) / copyMs));
 }
 
 // With more ranks, more requests benefit from a faster pass, but each copy also delays all ranks for longer during the
@@ -317,39 +318,39 @@
     return m_settings.rankAgent->gainPerGigabyte * engine.expertGigabytes * engine.expertSets / std::sqrt(ranks);
 }
 
-void rank_service::updateOthers()
+void rank_service::updateOtherRanks()
 {
     const auto own = m_settings.rankAgent->engine;
     const auto& servers = m_watch->directory().servers();
-    const auto mine
+    const auto ownServer
         = std::find_if(servers.begin(), servers.end(), [&](const auto& entry) { return entry.second.address == own; });
-    if (mine == servers.end())
+    if (ownServer == servers.end())
         return;
-    std::map<data_centre_id, std::uint32_t> dataCentres { { mine->second.dataCentre,
+    std::map<data_centre_id, std::uint32_t> dataCentres { { ownServer->second.dataCentre,
         0 } }; // The own data centre has number 0.
-    std::vector<std::shared_ptr<rank_channel>> others;
+    std::vector<std::shared_ptr<rank_channel>> otherRanks;
     for (const auto& [id, server] : servers) {
-        if (server.deployment != mine->second.deployment || server.address == own)
+        if (server.deployment != ownServer->second.deployment || server.address == own)
             continue;
         auto& channel = m_channels[server.address];
         if (!channel) {
             channel = std::make_shared<agent_channel>(m_runtime, m_peers->client(),
-                endpoint { server.address.ip, m_settings.peers.port }, m_engineAt(server.address));
+                endpoint { server.address.ip, m_settings.peers.port }, m_makeEngine(server.address));
         }
         const auto dataCentre
             = dataCentres.emplace(server.dataCentre, static_cast<std::uint32_t>(dataCentres.size())).first->second;
         channel->setDataCentre(dataCentre);
         if (channel->mayBelongTo(m_group->name, m_leader->allRanksAnswered(), clock_type::now()))
-            others.push_back(channel);
+            otherRanks.push_back(channel);
     }
-    m_leader->setPeers(std::move(others));
+    m_leader->setPeers(std::move(otherRanks));
 }
 
 void rank_service::stop()
 {
     m_stopped = true;
     m_permits->stop();
-    m_news->close();
+    m_datagrams->close();
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/rank_service.h
+++ b/coltsfootbend/group/rank_service.h
@@ -30,9 +30,9 @@
 class rank_service final : public service {
 public:
     // Creates a client of the engine at an address: of the own engine, and of ranks whose agent is unresponsive.
-    using engine_source = std::function<std::unique_ptr<rank_engine>(const endpoint&)>;
+    using engine_factory = std::function<std::unique_ptr<rank_engine>(const endpoint&)>;
 
-    rank_service(fiber_runtime&, const daemon_settings&, engine_source);
+    rank_service(fiber_runtime&, const daemon_settings&, engine_factory);
     ~rank_service() override;
 
     std::string_view name() const override { return "rank"; }
@@ -40,14 +40,14 @@
     void stop() override;
 
 private:
-    void answerPeers();
+    void registerHandlers();
     // Probes whether a process listens at a backend server's address.
-    wire::port_finding lookAt(const wire::port_inquiry&);
-    void newsLoop();
+    wire::port_finding probeServerPort(const wire::port_inquiry&);
+    void loadUpdateLoop();
     void receiveLoop();
-    void hearGateway(const endpoint& sender, const wire::load_subscribe&);
-    void tellLoad(const rank_report&);
-    void leadLoop();
+    void onLoadSubscribe(const endpoint& sender, const wire::load_subscribe&);
+    void sendLoadUpdate(const rank_report&);
+    void leaderLoop();
     // Performs one cycle as the leader, or checks whether to take over. Returns the time until the next cycle.
     duration leadOrFollow();
     // Returns null if the engine's deployment has no expert maps.
@@ -59,19 +59,19 @@
     // Returns the leader's logic, created on first use; null if the engine's deployment has no expert maps.
     map_leader* leader();
     // Passes the channels of the group's other ranks to the leader's logic.
-    void updateOthers();
+    void updateOtherRanks();
     // Returns how long this rank waits for a leader's message before it takes over.
-    duration silenceLimit() const;
+    duration takeoverTimeout() const;
 
     fiber_runtime& m_runtime;
     const daemon_settings& m_settings;
-    const engine_source m_engineAt;
+    const engine_factory m_makeEngine;
     const std::unique_ptr<rank_engine> m_engine;
     map_participant m_participant;
     deployment_watch* m_watch = nullptr;
     metrics_service* m_metrics = nullptr;
     peer_service* m_peers = nullptr;
-    std::unique_ptr<datagram_socket> m_news;
+    std::unique_ptr<datagram_socket> m_datagrams;
     // Crashes of backend servers, which gateways exchange through agents.
     crash_history m_crashes;
     std::unique_ptr<datagram_crash_channel> m_crashChannel;
@@ -79,7 +79,7 @@
     std::unique_ptr<permit_desk> m_permits;
     load_subscribers m_subscribers { std::random_device {}() };
     std::optional<group_membership> m_group; // By the last report.
-    news_schedule m_newsSchedule;
+    news_schedule m_loadUpdateSchedule;
     std::map<endpoint, std::shared_ptr<agent_channel>> m_channels; // By the engine's address.
     std::unique_ptr<peer_relay_transport> m_transport;
     std::unique_ptr<order_relay> m_relay;
--- a/coltsfootbend/group/relay_peers.cpp
+++ b/coltsfootbend/group/relay_peers.cpp
@@ -12,19 +12,19 @@
 namespace {
 
 // Interval at which an agent acknowledges an order that it is working on. The first acknowledgement is sent at once.
-constexpr std::chrono::milliseconds signOfLifeEvery { 120 };
+constexpr std::chrono::milliseconds acknowledgeInterval { 120 };
 // Time for the first acknowledgement, after which the agent is bypassed. An agent with 0.15 of a core answers within
 // about 10 ms.
-constexpr std::chrono::milliseconds takenLimit { 100 };
+constexpr std::chrono::milliseconds acceptTimeout { 100 };
 // Time between two acknowledgements, which allows one of them to be late.
-constexpr std::chrono::milliseconds signOfLifeLimit { 300 };
+constexpr std::chrono::milliseconds acknowledgeTimeout { 300 };
 
 } // namespace
 
 result<wire::relayed_answers> peer_relay_transport::send(const wire::relayed_order& order, time_point deadline)
 {
     const endpoint address { order.own.host, m_port };
-    auto stream = m_peers.open(address, order, true, std::min<time_point>(deadline, clock_type::now() + takenLimit));
+    auto stream = m_peers.open(address, order, true, std::min<time_point>(deadline, clock_type::now() + acceptTimeout));
     auto answers = stream ? awaitAnswers(**stream, deadline) : tl::unexpected(stream.error());
     if (answers)
         return answers;
@@ -38,9 +38,9 @@
 
 result<wire::relayed_answers> peer_relay_transport::awaitAnswers(peer_stream& stream, time_point deadline)
 {
-    duration patience = takenLimit;
+    duration timeout = acceptTimeout;
     while (true) {
-        auto message = stream.receive(std::min<time_point>(deadline, clock_type::now() + patience));
+        auto message = stream.receive(std::min<time_point>(deadline, clock_type::now() + timeout));
         if (!message)
             return tl::unexpected(message.error());
         if (auto* answers = std::get_if<wire::relayed_answers>(&message->content))
@@ -48,11 +48,11 @@
         if (!std::holds_alternative<wire::acknowledge>(message->content))
             return fail(error_kind::BadInput, "the agent answered a relayed order with an unexpected message",
                 "Check that the versions of all agents are compatible");
-        patience = signOfLifeLimit;
+        timeout = acknowledgeTimeout;
     }
 }
 
-void relay_node::answerPeers(peer_service& peers)
+void relay_node::registerHandler(peer_service& peers)
 {
     peers.on<wire::relayed_order>(
         [this](peer_stream& stream, const wire::message&, const wire::relayed_order& order) { serve(stream, order); });
@@ -78,7 +78,7 @@
     while (!working->answers) {
         if (!stream.send(wire::acknowledge {}, false))
             return;
-        (void)working->isDone.waitUntil(clock_type::now() + signOfLifeEvery);
+        (void)working->isDone.waitUntil(clock_type::now() + acknowledgeInterval);
     }
     (void)stream.send(std::move(*working->answers), true);
 }
@@ -95,7 +95,7 @@
     };
     auto own = std::make_shared<own_part>(m_runtime);
     m_runtime.spawn([this, own, order, deadline] {
-        own->gathered = answerOwn(order, deadline);
+        own->gathered = answerForOwnRank(order, deadline);
         own->isDone.notify();
     });
     auto gathered = m_relay.deliver(order.order, order.others, deadline);
@@ -110,19 +110,19 @@
 }
 
 // Returns the state of the own rank; no state if the engine does not report it.
-gathered_states relay_node::answerOwn(const wire::relayed_order& order, time_point deadline)
+gathered_states relay_node::answerForOwnRank(const wire::relayed_order& order, time_point deadline)
 {
-    auto state = m_own.answer(orderFor(order.order, order.own.life, order.own.tellsDemand), deadline);
-    wire::rank_state told;
+    auto state = m_participant.answer(orderFor(order.order, order.own.life, order.own.tellsDemand), deadline);
+    wire::rank_state ownState;
     if (state)
-        told = std::move(*state);
+        ownState = std::move(*state);
     else if (state.error().kind != error_kind::NotFound)
         return {};
     // An engine without a group is reported as a state with an empty group name.
-    told.target = order.own.number;
-    auto demand = std::move(told.demand);
-    told.demand.clear();
-    return { { std::move(told) }, std::move(demand) };
+    ownState.target = order.own.number;
+    auto demand = std::move(ownState.demand);
+    ownState.demand.clear();
+    return { { std::move(ownState) }, std::move(demand) };
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/relay_peers.h
+++ b/coltsfootbend/group/relay_peers.h
@@ -41,24 +41,24 @@
 public:
     relay_node(fiber_runtime& runtime, map_participant& own, order_relay& relay)
         : m_runtime(runtime)
-        , m_own(own)
+        , m_participant(own)
         , m_relay(relay)
     {
     }
 
     // Registers this node as the handler of `relayed_order` messages.
-    void answerPeers(peer_service&);
+    void registerHandler(peer_service&);
 
     // Carries out `order` for the own rank and concurrently relays it to the others. Returns the answers received until
     // `deadline`. Blocks the calling fiber.
     wire::relayed_answers answer(const wire::relayed_order& order, time_point deadline);
 
 private:
-    gathered_states answerOwn(const wire::relayed_order&, time_point deadline);
+    gathered_states answerForOwnRank(const wire::relayed_order&, time_point deadline);
     void serve(peer_stream&, const wire::relayed_order&);
 
     fiber_runtime& m_runtime;
-    map_participant& m_own;
+    map_participant& m_participant;
     order_relay& m_relay;
 };
 
--- a/coltsfootbend/group/relayed_states.cpp
+++ b/coltsfootbend/group/relayed_states.cpp
@@ -12,7 +12,7 @@
 
 // Returns whether the two states differ only in values that `rank_difference` holds. A state with a map never
 // qualifies.
-bool isAlike(const wire::rank_state& a, const wire::rank_state& b)
+bool sharesCommonValues(const wire::rank_state& a, const wire::rank_state& b)
 {
     return a.term == b.term && a.group == b.group && a.epoch == b.epoch && a.ranks == b.ranks && a.isOpen == b.isOpen
         && a.mapVersion == b.mapVersion && a.preparedVersion == b.preparedVersion && a.armedVersion == b.armedVersion
@@ -44,7 +44,7 @@
             answers.common.demand.clear();
             hasCommon = true;
         }
-        if (hasCommon && isAlike(answers.common, state)) {
+        if (hasCommon && sharesCommonValues(answers.common, state)) {
             answers.alike.push_back(differenceOf(state, answers.common));
         } else {
             answers.others.push_back(state);
@@ -72,10 +72,10 @@
 
 void addCounts(std::vector<std::uint32_t>& sum, const std::vector<std::uint32_t>& counts)
 {
-    constexpr std::uint64_t most = std::numeric_limits<std::uint32_t>::max();
+    constexpr std::uint64_t maxCount = std::numeric_limits<std::uint32_t>::max();
     sum.resize(std::max(sum.size(), counts.size()));
     for (std::size_t i = 0; i < counts.size(); ++i)
-        sum[i] = static_cast<std::uint32_t>(std::min(most, std::uint64_t { sum[i] } + counts[i]));
+        sum[i] = static_cast<std::uint32_t>(std::min(maxCount, std::uint64_t { sum[i] } + counts[i]));
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/relayed_states_test.cpp
+++ b/coltsfootbend/group/relayed_states_test.cpp
@@ -35,7 +35,7 @@
     return all;
 }
 
-std::vector<wire::rank_state> throughTheWire(const std::vector<wire::rank_state>& all)
+std::vector<wire::rank_state> encodedAndDecoded(const std::vector<wire::rank_state>& all)
 {
     wire::message_decoder decoder(1'000'000);
     decoder.feed(wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = packStates(all, {}) }));
@@ -58,30 +58,30 @@
 {
     auto all = states(*rc::gen::inRange<std::uint32_t>(1, 20));
     for (auto& state : all) {
-        const auto often = [](std::uint64_t usual) {
+        const auto mostly = [](std::uint64_t usual) {
             return *rc::gen::weightedElement<std::uint64_t>({ { 5, usual }, { 1, usual + 1 }, { 1, 0 } });
         };
-        state.term = often(state.term);
-        state.epoch = often(state.epoch);
-        state.step = often(state.step);
-        state.mapVersion = often(state.mapVersion);
-        state.preparedVersion = often(state.preparedVersion);
-        state.preparedTerm = often(state.preparedTerm);
-        state.armedVersion = often(state.armedVersion);
-        state.armedStep = often(state.armedStep);
-        state.heldStep = often(state.heldStep);
-        state.highestVersion = often(state.highestVersion);
-        state.life = often(state.life);
-        state.isOpen = often(1) != 0;
-        state.isArmUncertain = often(0) != 0;
-        state.lacksBase = often(0) != 0;
-        state.pace = 1 + static_cast<double>(often(0)) / 4;
-        if (often(0) != 0)
+        state.term = mostly(state.term);
+        state.epoch = mostly(state.epoch);
+        state.step = mostly(state.step);
+        state.mapVersion = mostly(state.mapVersion);
+        state.preparedVersion = mostly(state.preparedVersion);
+        state.preparedTerm = mostly(state.preparedTerm);
+        state.armedVersion = mostly(state.armedVersion);
+        state.armedStep = mostly(state.armedStep);
+        state.heldStep = mostly(state.heldStep);
+        state.highestVersion = mostly(state.highestVersion);
+        state.life = mostly(state.life);
+        state.isOpen = mostly(1) != 0;
+        state.isArmUncertain = mostly(0) != 0;
+        state.lacksBase = mostly(0) != 0;
+        state.pace = 1 + static_cast<double>(mostly(0)) / 4;
+        if (mostly(0) != 0)
             state.map = { { 1, 2 }, { state.rank } };
-        if (often(0) != 0)
+        if (mostly(0) != 0)
             state.group = "another";
     }
-    const auto back = throughTheWire(all);
+    const auto back = encodedAndDecoded(all);
     RC_ASSERT(back.size() == all.size());
     for (std::size_t i = 0; i < all.size(); ++i) {
         RC_ASSERT(back[i].target == all[i].target);
