--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -171,8 +171,9 @@
     std::vector<addressee> to;
     to.reserve(members.size());
     for (const auto& member : members)
-        to.push_back({ .channel = member.channel,
-            .life = member.rank < m_incarnations.size() ? m_incarnations[member.rank] : 0 });
+        to.push_back(
+            { .channel = member.channel,
+            .incarnation = member.rank < m_incarnations.size() ? m_incarnations[member.rank] : 0 });
     return to;
 }
 
@@ -217,7 +218,7 @@
     std::sort(candidates.begin(), candidates.end());
     candidates.resize(std::min<std::size_t>(candidates.size(), m_options.maxDemandSources));
     for (const auto& [isRemote, index] : candidates)
-        to[index].tellsDemand = true;
+        to[index].reportsDemand = true;
 }
 
 map_leader::states_by_rank map_leader::collectStates(duration timeout)
--- a/coltsfootbend/group/map_participant.cpp
+++ b/coltsfootbend/group/map_participant.cpp
@@ -54,11 +54,11 @@
     return m_term;
 }
 
-result<void> map_participant::enterIncarnation(engine_life life)
+result<void> map_participant::enterIncarnation(engine_incarnation reported)
 {
-    if (life == m_engineIncarnation || life.isNone())
+    if (reported == m_engineIncarnation || reported.isNone())
         return {};
-    if (life < m_engineIncarnation)
+    if (reported < m_engineIncarnation)
         return fail(error_kind::Stale, "this was told before the engine's restart", "Ask again");
     if (!m_engineIncarnation.isNone()) {
         m_orders.reset();
@@ -67,7 +67,7 @@
         m_isPrepared = false;
         m_preparedTerm = 0;
     }
-    m_engineIncarnation = life;
+    m_engineIncarnation = reported;
     return {};
 }
 
@@ -91,20 +91,20 @@
 
 void map_participant::observe(const rank_report& report)
 {
-    if (report.group && enterIncarnation(report.life))
+    if (report.group && enterIncarnation(report.incarnation))
         enterGroup(report.group->name);
 }
 
 result<wire::rank_state> map_participant::stateOf(const rank_report& report)
 {
-    if (const auto entered = enterIncarnation(report.life); !entered)
+    if (const auto entered = enterIncarnation(report.incarnation); !entered)
         return tl::unexpected(entered.error());
     if (!report.group)
         return fail(error_kind::NotFound, "the engine belongs to no group", "Nothing: it needs no expert maps");
     enterGroup(report.group->name);
     const auto& group = *report.group;
     wire::rank_state state;
-    state.life = report.life.number();
+    state.life = report.incarnation.number();
     state.term = m_term;
     state.group = group.name;
     state.epoch = group.epoch;
@@ -155,11 +155,11 @@
     // start of the engine as current demand.
     if (counts.size() != m_lastCounts.size()) {
         m_lastCounts = counts;
-        m_lastCountsIncarnation = demand->life;
+        m_lastCountsIncarnation = demand->incarnation;
         return;
     }
     // Counts of another incarnation, or that decrease, show that the engine was restarted: all of them are new.
-    bool isContinued = demand->life == m_lastCountsIncarnation;
+    bool isContinued = demand->incarnation == m_lastCountsIncarnation;
     for (std::size_t i = 0; isContinued && i < counts.size(); ++i)
         isContinued = counts[i] >= m_lastCounts[i];
     state.demand.resize(counts.size());
@@ -167,7 +167,7 @@
         state.demand[i]
             = static_cast<std::uint32_t>(std::min(maxCount, counts[i] - (isContinued ? m_lastCounts[i] : 0)));
     m_lastCounts = counts;
-    m_lastCountsIncarnation = demand->life;
+    m_lastCountsIncarnation = demand->incarnation;
 }
 
 result<void> map_participant::addMap(wire::rank_state& state, time_point deadline)
--- a/coltsfootbend/group/map_participant.h
+++ b/coltsfootbend/group/map_participant.h
@@ -66,7 +66,7 @@
     // Discards state that belongs to another group.
     void enterGroup(const std::string& group);
     // Discards state of an earlier incarnation of the engine. Fails with `Stale` if the argument is an earlier one.
-    result<void> enterIncarnation(engine_life life);
+    result<void> enterIncarnation(engine_incarnation reported);
     result<wire::rank_state> stateOf(const rank_report&);
     result<wire::rank_state> readState(time_point deadline);
     void addDemand(wire::rank_state&, time_point deadline);
@@ -85,10 +85,10 @@
     // Last map that was ordered to be prepared, and the term of that order.
     engine_map_version m_preparedVersion = 0;
     leader_term m_preparedTerm = 0;
-    engine_life m_engineIncarnation;
+    engine_incarnation m_engineIncarnation;
     // Demand counts at the last answer, and the engine's incarnation then.
     std::vector<std::uint64_t> m_lastCounts;
-    engine_life m_lastCountsIncarnation;
+    engine_incarnation m_lastCountsIncarnation;
     // Maps of the last orders to prepare, newest first; later orders may list only changes to one of them.
     struct known_map {
         group_formation formation;
--- a/coltsfootbend/group/map_participant_test.cpp
+++ b/coltsfootbend/group/map_participant_test.cpp
@@ -14,7 +14,7 @@
     result<rank_report> report(time_point) override { return nextReport; }
     result<rank_demand> demand(time_point) override
     {
-        return rank_demand { .life = nextReport.life, .epoch = 1, .counts = counts };
+        return rank_demand { .incarnation = nextReport.incarnation, .epoch = 1, .counts = counts };
     }
     result<rank_maps> maps(time_point) override { return rank_maps {}; }
     result<void> prepare(group_epoch, engine_map_version, const group_map& map, time_point) override
@@ -100,7 +100,7 @@
 TEST(MapParticipant, OrderForAnotherGroupEpochOrIncarnationIsNotCarriedOut)
 {
     withParticipant([](map_participant& participant, scripted_engine& engine) {
-        engine.nextReport.life = engine_life(5);
+        engine.nextReport.incarnation = engine_incarnation(5);
         auto otherGroup = scope(1);
         otherGroup.group = "h";
         auto otherEpoch = scope(1);
@@ -190,17 +190,17 @@
 TEST(MapParticipant, RestartedEngineKeepsNoEarlierOrders)
 {
     withParticipant([](map_participant& participant, scripted_engine& engine) {
-        engine.nextReport.life = engine_life(1);
+        engine.nextReport.incarnation = engine_incarnation(1);
         const wire::rank_arm arm { .scope = scope(1), .version = 7, .step = 100 };
         (void)participant.answer(arm, clock_type::now() + 60ms);
-        engine.nextReport.life = engine_life(2);
+        engine.nextReport.incarnation = engine_incarnation(2);
         const wire::rank_query query { .scope = scope(1) };
         auto state = participant.answer(query, clock_type::now() + 1s);
         ASSERT_TRUE(state);
         EXPECT_EQ(state->armedVersion, 0U);
         EXPECT_FALSE(participant.isArmed());
         EXPECT_EQ(state->life, 2U);
-        engine.nextReport.life = engine_life(1);
+        engine.nextReport.incarnation = engine_incarnation(1);
         EXPECT_FALSE(participant.answer(query, clock_type::now() + 1s)) << "a report from before the restart";
     });
 }
@@ -208,10 +208,10 @@
 TEST(MapParticipant, AllCountsOfARestartedEngineAreNewEvenIfTheyIncreased)
 {
     withParticipant([](map_participant& participant, scripted_engine& engine) {
-        engine.nextReport.life = engine_life(1);
+        engine.nextReport.incarnation = engine_incarnation(1);
         engine.counts = { 10, 5 };
         (void)askDemand(participant, 1);
-        engine.nextReport.life = engine_life(2);
+        engine.nextReport.incarnation = engine_incarnation(2);
         engine.counts = { 30, 40 };
         EXPECT_EQ(askDemand(participant, 1), (std::vector<std::uint32_t> { 30, 40 }));
     });
--- a/coltsfootbend/group/rank_channel.cpp
+++ b/coltsfootbend/group/rank_channel.cpp
@@ -57,8 +57,8 @@
         }
         auto target = to[i].channel->relayTarget();
         target.number = static_cast<std::uint32_t>(i);
-        target.life = to[i].life;
-        target.tellsDemand = to[i].tellsDemand;
+        target.life = to[i].incarnation;
+        target.tellsDemand = to[i].reportsDemand;
         partition.targets.push_back(std::move(target));
     }
     return partition;
@@ -91,11 +91,11 @@
 
 } // namespace
 
-wire::rank_order orderFor(wire::rank_order order, std::uint64_t life, bool tellsDemand)
+wire::rank_order orderFor(wire::rank_order order, std::uint64_t engineIncarnation, bool reportsDemand)
 {
-    std::visit([life](auto& message) { message.scope.life = life; }, order);
+    std::visit([engineIncarnation](auto& message) { message.scope.life = engineIncarnation; }, order);
     if (auto* query = std::get_if<wire::rank_query>(&order))
-        query->wantsDemand = query->wantsDemand && tellsDemand;
+        query->wantsDemand = query->wantsDemand && reportsDemand;
     return order;
 }
 
@@ -107,7 +107,7 @@
     requests->answers.assign(to.size(), noAnswerError());
     for (std::size_t i = 0; i < to.size(); ++i) {
         m_runtime.spawn([requests, i, to = to[i], order, deadline] {
-            requests->answers[i] = to.channel->ask(orderFor(order, to.life, to.tellsDemand), deadline);
+            requests->answers[i] = to.channel->ask(orderFor(order, to.incarnation, to.reportsDemand), deadline);
             --requests->pending;
             requests->answered.notify();
         });
--- a/coltsfootbend/group/rank_channel.h
+++ b/coltsfootbend/group/rank_channel.h
@@ -38,8 +38,8 @@
 // One rank that an order is sent to.
 struct addressee {
     std::shared_ptr<rank_channel> channel;
-    std::uint64_t life = 0; // Of its engine, as the leader knows it; 0 if not reported.
-    bool tellsDemand = false; // True if the rank answers an order for demand counts with its own counts.
+    std::uint64_t incarnation = 0; // Of its engine, as the leader knows it; 0 if not reported.
+    bool reportsDemand = false; // True if the rank answers an order for demand counts with its own counts.
 };
 
 // Answers to one order: the states in the order of the addressees, with `TimedOut` for ranks that did not answer, and
@@ -97,6 +97,6 @@
 
 // Returns `order` as it is sent to one rank: its scope names the incarnation, and the rank is asked for demand counts
 // only if it reports them.
-wire::rank_order orderFor(wire::rank_order order, std::uint64_t life, bool tellsDemand);
+wire::rank_order orderFor(wire::rank_order order, std::uint64_t engineIncarnation, bool reportsDemand);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/rank_engine.h
+++ b/coltsfootbend/group/rank_engine.h
@@ -21,7 +21,7 @@
 
 // One incarnation of an engine, identified by the Unix time of its start in milliseconds; none if the engine does not
 // report it. A restarted engine keeps no earlier order, and its counts restart at zero.
-using engine_life = number_id<struct engine_life_tag>;
+using engine_incarnation = number_id<struct engine_incarnation_tag>;
 
 // Number of a pass; a group begins each pass only once in an epoch.
 using pass_number = std::uint64_t;
@@ -43,7 +43,7 @@
 struct group_formation {
     std::string group;
     group_epoch epoch = 0;
-    engine_life life;
+    engine_incarnation incarnation;
 
     bool operator==(const group_formation&) const = default;
 };
@@ -58,7 +58,7 @@
 
 // An engine's report of its load and its map state.
 struct rank_report {
-    engine_life life;
+    engine_incarnation incarnation;
     std::uint32_t running = 0; // Requests.
     std::uint32_t waiting = 0; // Requests.
     std::uint64_t usedTokens = 0; // KV cache in use.
@@ -79,7 +79,7 @@
 
 // How often an engine's requests used each expert.
 struct rank_demand {
-    engine_life life;
+    engine_incarnation incarnation;
     group_epoch epoch = 0;
     // Uses by set and expert since the engine started.
     std::vector<std::uint64_t> counts;
--- a/coltsfootbend/group/rank_orders.cpp
+++ b/coltsfootbend/group/rank_orders.cpp
@@ -12,7 +12,7 @@
 bool isInOpenFormation(const rank_report& report, const group_formation& formation)
 {
     return report.group && report.group->isOpen
-        && group_formation { report.group->name, report.group->epoch, report.life } == formation;
+        && group_formation { report.group->name, report.group->epoch, report.incarnation } == formation;
 }
 
 tl::unexpected<error> staleOrderError(const std::string& reason)
--- a/coltsfootbend/measure/model_group.cpp
+++ b/coltsfootbend/measure/model_group.cpp
@@ -49,7 +49,7 @@
     m_isOpen = false;
     const auto before = m_members[rank].life.number();
     m_members[rank] = member {};
-    m_members[rank].life = engine_life(before + 1);
+    m_members[rank].life = engine_incarnation(before + 1);
 }
 
 bool model_group::beginPass()
@@ -129,7 +129,7 @@
     const auto& group = *m_place->group;
     const auto& mine = group.at(m_place->rank);
     rank_report report;
-    report.life = mine.life;
+    report.incarnation = mine.life;
     report.running = group.running();
     report.group = group_membership { group.name(), group.epoch(), m_place->rank, group.ranks(), group.isOpen() };
     report.step = group.step();
@@ -145,7 +145,7 @@
 {
     const auto& group = *m_place->group;
     const auto& mine = group.at(m_place->rank);
-    return rank_demand { .life = mine.life, .epoch = group.epoch(), .counts = mine.counts };
+    return rank_demand { .incarnation = mine.life, .epoch = group.epoch(), .counts = mine.counts };
 }
 
 result<rank_maps> model_engine::maps(time_point)
--- a/coltsfootbend/measure/model_group.h
+++ b/coltsfootbend/measure/model_group.h
@@ -41,7 +41,7 @@
 
     // One rank's part in map changes.
     struct member {
-        engine_life life { 1 };
+        engine_incarnation life { 1 };
         engine_map_version highest = 0;
         engine_map_version version = 0;
         rank_experts experts;
