--- a/coltsfootbend/group/news_schedule.h
+++ b/coltsfootbend/group/load_update_schedule.h
@@ -15,7 +15,7 @@
 
 namespace coltsfootbend {
 
-class news_schedule {
+class load_update_schedule {
 public:
     struct options {
         // Interval between updates up to `engines`.
@@ -26,11 +26,11 @@
         std::size_t engines = 256;
     };
 
-    news_schedule()
-        : news_schedule(options {})
+    load_update_schedule()
+        : load_update_schedule(options {})
     {
     }
-    explicit news_schedule(const options& options)
+    explicit load_update_schedule(const options& options)
         : m_options(options)
     {
     }
--- a/coltsfootbend/group/news_schedule_test.cpp
+++ b/coltsfootbend/group/load_update_schedule_test.cpp
@@ -1,4 +1,4 @@
-#include "coltsfootbend/group/news_schedule.h"
+#include "coltsfootbend/group/load_update_schedule.h"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 // Returns the number of updates per second that a gateway receives from this many engines.
 double updatesPerSecond(std::size_t engines)
 {
-    news_schedule schedule;
+    load_update_schedule schedule;
     int sent = 0;
     const time_point start { 1h };
     for (auto now = start; now < start + 60s; now += 100ms)
@@ -19,7 +19,7 @@
 }
 
 // With ten updates per second from each of 3,000 engines, a gateway spends most of its processor on updates.
-TEST(NewsSchedule, UpdatesPerGatewayDoNotGrowWithTheNumberOfEngines)
+TEST(LoadUpdateSchedule, UpdatesPerGatewayDoNotGrowWithTheNumberOfEngines)
 {
     EXPECT_NEAR(updatesPerSecond(129), 1290, 10) << "at the usual rate";
     EXPECT_LE(updatesPerSecond(300), 3000);
@@ -27,14 +27,14 @@
     EXPECT_LE(updatesPerSecond(3000), 3100);
 }
 
-TEST(NewsSchedule, LongestIntervalIsShorterThanTheValidityOfAReport)
+TEST(LoadUpdateSchedule, LongestIntervalIsShorterThanTheValidityOfAReport)
 {
-    EXPECT_LE(news_schedule().intervalFor(100'000), 1s);
+    EXPECT_LE(load_update_schedule().intervalFor(100'000), 1s);
 }
 
-TEST(NewsSchedule, GroupChangesAreSentAtOnce)
+TEST(LoadUpdateSchedule, GroupChangesAreSentAtOnce)
 {
-    news_schedule schedule;
+    load_update_schedule schedule;
     const time_point now { 1h };
     EXPECT_TRUE(schedule.isDue(3000, false, now));
     EXPECT_FALSE(schedule.isDue(3000, false, now + 100ms));
--- a/coltsfootbend/group/rank_service.h
+++ b/coltsfootbend/group/rank_service.h
@@ -8,9 +8,9 @@
 
 #include "coltsfootbend/gateway/deployment_watch.h"
 #include "coltsfootbend/group/load_subscribers.h"
+#include "coltsfootbend/group/load_update_schedule.h"
 #include "coltsfootbend/group/map_leader.h"
 #include "coltsfootbend/group/map_participant.h"
-#include "coltsfootbend/group/news_schedule.h"
 #include "coltsfootbend/group/relay_peers.h"
 #include "coltsfootbend/metrics/metrics.h"
 #include "coltsfootbend/net/datagram.h"
@@ -79,7 +79,7 @@
     std::unique_ptr<permit_desk> m_permits;
     load_subscribers m_subscribers { std::random_device {}() };
     std::optional<group_membership> m_group; // By the last report.
-    news_schedule m_loadUpdateSchedule;
+    load_update_schedule m_loadUpdateSchedule;
     std::map<endpoint, std::shared_ptr<agent_channel>> m_channels; // By the engine's address.
     std::unique_ptr<peer_relay_transport> m_transport;
     std::unique_ptr<order_relay> m_relay;
