--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -164,7 +164,7 @@
     link_transport transport;
     order_relay relay;
     relay_node node;
-    relay_carrier carrier;
+    relay_dispatcher carrier;
     map_leader leader;
 };
 
--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -120,7 +120,7 @@
 
 } // namespace
 
-map_leader::map_leader(fiber_runtime& runtime, map_participant& participant, order_carrier& carrier,
+map_leader::map_leader(fiber_runtime& runtime, map_participant& participant, order_dispatcher& carrier,
     const options& options, std::minstd_rand::result_type seed)
     : m_runtime(runtime)
     , m_participant(participant)
@@ -155,9 +155,9 @@
     return scope;
 }
 
-carried_order map_leader::sendToAll(const wire::rank_order& order, const std::vector<addressee>& to, duration timeout)
+dispatch_result map_leader::sendToAll(const wire::rank_order& order, const std::vector<addressee>& to, duration timeout)
 {
-    auto carried = m_carrier.carry(order, to, clock_type::now() + timeout,
+    auto carried = m_carrier.dispatch(order, to, clock_type::now() + timeout,
         { .every = m_options.heartbeatInterval, .beat = [this] { sendHeartbeat(); } });
     for (const auto& state : carried.states) {
         if (state && state->group == m_group)
@@ -204,7 +204,7 @@
     const wire::rank_query query { .scope = { .term = m_term, .group = m_group, .epoch = m_epoch } };
     // The answers are not needed: a newer leader's term also arrives with the answers to the step itself.
     m_runtime.spawn([&carrier = m_carrier, query, to = addresseesOf(m_members), deadline] {
-        (void)carrier.carry(query, to, deadline, {});
+        (void)carrier.dispatch(query, to, deadline, {});
     });
 }
 
--- a/coltsfootbend/group/map_leader.h
+++ b/coltsfootbend/group/map_leader.h
@@ -53,7 +53,7 @@
     };
 
     // `carrier` sends orders to many ranks at once; it must outlive the leader.
-    map_leader(fiber_runtime&, map_participant& participant, order_carrier&, const options&,
+    map_leader(fiber_runtime&, map_participant& participant, order_dispatcher&, const options&,
         std::minstd_rand::result_type seed);
 
     // Sets the channels to the other ranks of the group. Ranks of other groups may be included: they are queried but
@@ -84,7 +84,7 @@
     // Returns the scope of the next order, with a new serial number.
     wire::order_scope nextOrderScope();
     // Sends `order` to all addressees concurrently, and yields to a newer leader whose term an answer reports.
-    carried_order sendToAll(const wire::rank_order&, const std::vector<addressee>&, duration timeout);
+    dispatch_result sendToAll(const wire::rank_order&, const std::vector<addressee>&, duration timeout);
     // Sends an order to the local rank and to `members` concurrently. The local rank's answer is the first element.
     template <typename Order>
     std::vector<result<wire::rank_state>> orderAll(Order, const std::vector<member>& members, duration timeout);
@@ -144,7 +144,7 @@
 
     fiber_runtime& m_runtime;
     map_participant& m_participant;
-    order_carrier& m_carrier;
+    order_dispatcher& m_carrier;
     const options m_options;
     const map_planner m_planner;
     std::minstd_rand m_random;
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -126,7 +126,7 @@
         , direct(runtime)
         , relayed(runtime, relay)
         , leader(std::make_unique<map_leader>(runtime, *participant,
-              route == order_route::Direct ? static_cast<order_carrier&>(direct) : relayed,
+              route == order_route::Direct ? static_cast<order_dispatcher&>(direct) : relayed,
               map_leader::options { .planner = { .placesPerRank = 6, .maxNewExpertsPerSet = 2, .gainPerMove = 0.001 },
                   .sets = sets,
                   .experts = experts,
@@ -146,8 +146,8 @@
     model_transport transport;
     order_relay relay;
     relay_node node;
-    direct_carrier direct;
-    relay_carrier relayed;
+    direct_dispatcher direct;
+    relay_dispatcher relayed;
     std::unique_ptr<map_leader> leader;
 };
 
--- a/coltsfootbend/group/rank_channel.cpp
+++ b/coltsfootbend/group/rank_channel.cpp
@@ -66,13 +66,13 @@
 
 // Notifies the channels which ranks answered.
 void noteRelayed(
-    const partitioned_addressees& partition, const std::vector<addressee>& to, const carried_order& carried)
+    const partitioned_addressees& partition, const std::vector<addressee>& to, const dispatch_result& dispatched)
 {
     const auto missing = std::count_if(partition.targets.begin(), partition.targets.end(),
-        [&](const auto& target) { return !carried.states[target.number]; });
+        [&](const auto& target) { return !dispatched.states[target.number]; });
     const bool isBranchLost = static_cast<std::size_t>(missing) > maxMarkedUnresponsive;
     for (const auto& target : partition.targets) {
-        const auto& state = carried.states[target.number];
+        const auto& state = dispatched.states[target.number];
         if (state || !isBranchLost)
             to[target.number].channel->noteRelayed(state);
     }
@@ -99,7 +99,7 @@
     return order;
 }
 
-carried_order direct_carrier::carry(
+dispatch_result direct_dispatcher::dispatch(
     const wire::rank_order& order, const std::vector<addressee>& to, time_point deadline, const rank_beat& beat)
 {
     auto requests = std::make_shared<direct_requests>(m_runtime);
@@ -123,30 +123,30 @@
     return { requests->answers, {} };
 }
 
-carried_order relay_carrier::carry(
+dispatch_result relay_dispatcher::dispatch(
     const wire::rank_order& order, const std::vector<addressee>& to, time_point deadline, const rank_beat& beat)
 {
     const auto partition = partitionAddressees(to);
     auto direct = std::make_shared<direct_answers>(m_runtime);
     if (!partition.directAddressees.empty()) {
         m_runtime.spawn([this, order, directAddressees = partition.directAddressees, deadline, direct] {
-            direct->states = m_direct.carry(order, directAddressees, deadline, {}).states;
+            direct->states = m_direct.dispatch(order, directAddressees, deadline, {}).states;
             direct->answered.notify();
         });
     }
     auto gathered = m_relay.deliver(order, sortedByDataCentre(partition.targets), deadline, beat);
-    carried_order carried { std::vector<result<wire::rank_state>>(to.size(), noAnswerError()),
+    dispatch_result dispatched { std::vector<result<wire::rank_state>>(to.size(), noAnswerError()),
         std::move(gathered.demand) };
     for (auto& state : gathered.states) {
         if (state.target < to.size())
-            carried.states[state.target] = std::move(state);
+            dispatched.states[state.target] = std::move(state);
     }
-    noteRelayed(partition, to, carried);
+    noteRelayed(partition, to, dispatched);
     if (!partition.directAddressees.empty() && direct->states.empty())
         (void)direct->answered.waitUntil(deadline + directAnswerGrace);
     for (std::size_t i = 0; i < direct->states.size(); ++i)
-        carried.states[partition.directIndices[i]] = direct->states[i];
-    return carried;
+        dispatched.states[partition.directIndices[i]] = direct->states[i];
+    return dispatched;
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/group/rank_channel.h
+++ b/coltsfootbend/group/rank_channel.h
@@ -44,32 +44,32 @@
 
 // Answers to one order: the states in the order of the addressees, with `TimedOut` for ranks that did not answer, and
 // the demand counts that relays have summed.
-struct carried_order {
+struct dispatch_result {
     std::vector<result<wire::rank_state>> states;
     std::vector<std::uint32_t> demand;
 };
 
 // Sends one order to many ranks at the same time.
-class order_carrier {
+class order_dispatcher {
 public:
-    virtual ~order_carrier() = default;
+    virtual ~order_dispatcher() = default;
     // Returns once all ranks have answered, at `deadline` at the latest. The scope of the order to each rank names the
     // incarnation of its engine. Blocks the calling fiber.
-    virtual carried_order carry(
+    virtual dispatch_result dispatch(
         const wire::rank_order&, const std::vector<addressee>&, time_point deadline, const rank_beat&)
         = 0;
 };
 
 // Sends the order to each rank through its channel. Only for a few ranks: the messages and the memory of this process
 // grow with their number.
-class direct_carrier final : public order_carrier {
+class direct_dispatcher final : public order_dispatcher {
 public:
-    explicit direct_carrier(fiber_runtime& runtime)
+    explicit direct_dispatcher(fiber_runtime& runtime)
         : m_runtime(runtime)
     {
     }
 
-    carried_order carry(
+    dispatch_result dispatch(
         const wire::rank_order&, const std::vector<addressee>&, time_point deadline, const rank_beat&) override;
 
 private:
@@ -77,21 +77,21 @@
 };
 
 // Sends the order along a relay tree of the ranks, and directly to ranks whose agents are unresponsive.
-class relay_carrier final : public order_carrier {
+class relay_dispatcher final : public order_dispatcher {
 public:
-    relay_carrier(fiber_runtime& runtime, order_relay& relay)
+    relay_dispatcher(fiber_runtime& runtime, order_relay& relay)
         : m_relay(relay)
         , m_direct(runtime)
         , m_runtime(runtime)
     {
     }
 
-    carried_order carry(
+    dispatch_result dispatch(
         const wire::rank_order&, const std::vector<addressee>&, time_point deadline, const rank_beat&) override;
 
 private:
     order_relay& m_relay;
-    direct_carrier m_direct;
+    direct_dispatcher m_direct;
     fiber_runtime& m_runtime;
 };
 
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -79,7 +79,7 @@
     m_peers = *peers;
     m_transport = std::make_unique<peer_relay_transport>(m_peers->client(), m_settings.peers.port);
     m_relay = std::make_unique<order_relay>(m_runtime, *m_transport);
-    m_carrier = std::make_unique<relay_carrier>(m_runtime, *m_relay);
+    m_dispatcher = std::make_unique<relay_dispatcher>(m_runtime, *m_relay);
     m_node = std::make_unique<relay_node>(m_runtime, m_participant, *m_relay);
     registerHandlers();
     m_node->registerHandler(*m_peers);
@@ -290,7 +290,7 @@
     const auto* engine = engineModel();
     if (!engine)
         return nullptr;
-    m_leader = std::make_unique<map_leader>(m_runtime, m_participant, *m_carrier,
+    m_leader = std::make_unique<map_leader>(m_runtime, m_participant, *m_dispatcher,
         map_leader::options { .planner = { .placesPerRank = engine->placesPerRank,
                                   .maxNewExpertsPerSet = engine->newPerChange,
                                   .maxCopiesPerRank = copiesPerRank(*engine),
--- a/coltsfootbend/group/rank_service.h
+++ b/coltsfootbend/group/rank_service.h
@@ -83,7 +83,7 @@
     std::map<endpoint, std::shared_ptr<agent_channel>> m_channels; // By the engine's address.
     std::unique_ptr<peer_relay_transport> m_transport;
     std::unique_ptr<order_relay> m_relay;
-    std::unique_ptr<relay_carrier> m_carrier;
+    std::unique_ptr<relay_dispatcher> m_dispatcher;
     std::unique_ptr<relay_node> m_node;
     std::unique_ptr<map_leader> m_leader;
     bool m_stopped = false;
