--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -158,7 +158,7 @@
 dispatch_result map_leader::sendToAll(const wire::rank_order& order, const std::vector<addressee>& to, duration timeout)
 {
     auto carried = m_carrier.dispatch(order, to, clock_type::now() + timeout,
-        { .every = m_options.heartbeatInterval, .beat = [this] { sendHeartbeat(); } });
+        { .interval = m_options.heartbeatInterval, .send = [this] { sendHeartbeat(); } });
     for (const auto& state : carried.states) {
         if (state && state->group == m_group)
             yieldToHigherTerm(*state);
--- a/coltsfootbend/group/order_relay.cpp
+++ b/coltsfootbend/group/order_relay.cpp
@@ -63,7 +63,7 @@
 };
 
 gathered_states order_relay::deliver(
-    const wire::rank_order& order, const target_list& targets, time_point deadline, const rank_beat& beat)
+    const wire::rank_order& order, const target_list& targets, time_point deadline, const rank_heartbeat& heartbeat)
 {
     auto current = std::make_shared<delivery>(m_runtime, order);
     auto branches = splitTargets(targets, m_options.fanOut);
@@ -75,12 +75,12 @@
             current->answered.notify();
         });
     }
-    auto beatAt = beat.beat ? clock_type::now() + beat.every : time_point::max();
+    auto nextHeartbeatAt = heartbeat.send ? clock_type::now() + heartbeat.interval : time_point::max();
     while (current->pending > 0 && clock_type::now() < deadline) {
-        (void)current->answered.waitUntil(std::min(deadline, beatAt));
-        if (clock_type::now() >= beatAt) {
-            beat.beat();
-            beatAt = clock_type::now() + beat.every;
+        (void)current->answered.waitUntil(std::min(deadline, nextHeartbeatAt));
+        if (clock_type::now() >= nextHeartbeatAt) {
+            heartbeat.send();
+            nextHeartbeatAt = clock_type::now() + heartbeat.interval;
         }
     }
     return std::move(current->gathered);
--- a/coltsfootbend/group/order_relay.h
+++ b/coltsfootbend/group/order_relay.h
@@ -31,9 +31,9 @@
 };
 
 // Callback that is run periodically while a call waits for answers.
-struct rank_beat {
-    duration every {};
-    std::function<void()> beat;
+struct rank_heartbeat {
+    duration interval {};
+    std::function<void()> send;
 };
 
 // Answers of ranks to one order: their states in any order, and their demand counts summed over the ranks.
@@ -74,8 +74,8 @@
 
     // Sends `order` to all targets, and returns once all have answered, at `deadline` at the latest. States of ranks
     // that did not answer are missing. Blocks the calling fiber.
-    gathered_states deliver(
-        const wire::rank_order&, const std::vector<wire::relay_target>&, time_point deadline, const rank_beat& = {});
+    gathered_states deliver(const wire::rank_order&, const std::vector<wire::relay_target>&, time_point deadline,
+        const rank_heartbeat& = {});
 
 private:
     struct delivery;
--- a/coltsfootbend/group/order_relay_test.cpp
+++ b/coltsfootbend/group/order_relay_test.cpp
@@ -185,7 +185,7 @@
         agents.unreachable = { 0, 1, 2, 3 };
         int heartbeats = 0;
         (void)agents.relay().deliver(wire::rank_query {}, targetsOf(4, 1), clock_type::now() + 300ms,
-            { .every = 5ms, .beat = [&heartbeats] { ++heartbeats; } });
+            { .interval = 5ms, .send = [&heartbeats] { ++heartbeats; } });
         EXPECT_GE(heartbeats, 2);
     });
 }
--- a/coltsfootbend/group/rank_channel.cpp
+++ b/coltsfootbend/group/rank_channel.cpp
@@ -99,8 +99,8 @@
     return order;
 }
 
-dispatch_result direct_dispatcher::dispatch(
-    const wire::rank_order& order, const std::vector<addressee>& to, time_point deadline, const rank_beat& beat)
+dispatch_result direct_dispatcher::dispatch(const wire::rank_order& order, const std::vector<addressee>& to,
+    time_point deadline, const rank_heartbeat& heartbeat)
 {
     auto requests = std::make_shared<direct_requests>(m_runtime);
     requests->pending = to.size();
@@ -112,19 +112,19 @@
             requests->answered.notify();
         });
     }
-    auto beatAt = beat.beat ? clock_type::now() + beat.every : time_point::max();
+    auto nextHeartbeatAt = heartbeat.send ? clock_type::now() + heartbeat.interval : time_point::max();
     while (requests->pending > 0 && clock_type::now() < deadline) {
-        (void)requests->answered.waitUntil(std::min(deadline, beatAt));
-        if (clock_type::now() >= beatAt) {
-            beat.beat();
-            beatAt = clock_type::now() + beat.every;
+        (void)requests->answered.waitUntil(std::min(deadline, nextHeartbeatAt));
+        if (clock_type::now() >= nextHeartbeatAt) {
+            heartbeat.send();
+            nextHeartbeatAt = clock_type::now() + heartbeat.interval;
         }
     }
     return { requests->answers, {} };
 }
 
-dispatch_result relay_dispatcher::dispatch(
-    const wire::rank_order& order, const std::vector<addressee>& to, time_point deadline, const rank_beat& beat)
+dispatch_result relay_dispatcher::dispatch(const wire::rank_order& order, const std::vector<addressee>& to,
+    time_point deadline, const rank_heartbeat& heartbeat)
 {
     const auto partition = partitionAddressees(to);
     auto direct = std::make_shared<direct_answers>(m_runtime);
@@ -134,7 +134,7 @@
             direct->answered.notify();
         });
     }
-    auto gathered = m_relay.deliver(order, sortedByDataCentre(partition.targets), deadline, beat);
+    auto gathered = m_relay.deliver(order, sortedByDataCentre(partition.targets), deadline, heartbeat);
     dispatch_result dispatched { std::vector<result<wire::rank_state>>(to.size(), noAnswerError()),
         std::move(gathered.demand) };
     for (auto& state : gathered.states) {
--- a/coltsfootbend/group/rank_channel.h
+++ b/coltsfootbend/group/rank_channel.h
@@ -56,7 +56,7 @@
     // Returns once all ranks have answered, at `deadline` at the latest. The scope of the order to each rank names the
     // incarnation of its engine. Blocks the calling fiber.
     virtual dispatch_result dispatch(
-        const wire::rank_order&, const std::vector<addressee>&, time_point deadline, const rank_beat&)
+        const wire::rank_order&, const std::vector<addressee>&, time_point deadline, const rank_heartbeat&)
         = 0;
 };
 
@@ -70,7 +70,7 @@
     }
 
     dispatch_result dispatch(
-        const wire::rank_order&, const std::vector<addressee>&, time_point deadline, const rank_beat&) override;
+        const wire::rank_order&, const std::vector<addressee>&, time_point deadline, const rank_heartbeat&) override;
 
 private:
     fiber_runtime& m_runtime;
@@ -87,7 +87,7 @@
     }
 
     dispatch_result dispatch(
-        const wire::rank_order&, const std::vector<addressee>&, time_point deadline, const rank_beat&) override;
+        const wire::rank_order&, const std::vector<addressee>&, time_point deadline, const rank_heartbeat&) override;
 
 private:
     order_relay& m_relay;
