--- a/coltsfootbend/gateway/deployment_test_support.h
+++ b/coltsfootbend/gateway/deployment_test_support.h
@@ -207,12 +207,12 @@
     while (clock_type::now() < until) {
         const auto now = clock_type::now();
         for (std::size_t i = pausedCount; i < gateways.size(); ++i)
-            agent.hear(addresses[i], gateways[i]->watch->knowledge(), now + std::chrono::seconds(3), now);
+            agent.subscribe(addresses[i], gateways[i]->watch->knowledge(), now + std::chrono::seconds(3), now);
         const auto duties = agent.duties();
         for (std::size_t i = pausedCount; i < gateways.size(); ++i) {
             auto& watch = *gateways[i]->watch;
             watch.hearConfirmations(agent.configuration(now), agent.servers(now), duties.at(addresses[i]));
-            if (const auto* informed = agent.findInformed(agent.all().at(addresses[i])))
+            if (const auto* informed = agent.findNewerSource(agent.all().at(addresses[i])))
                 watch.hearOfNews(*informed);
         }
         runtime.sleepFor(std::chrono::milliseconds(100));
--- a/coltsfootbend/group/load_subscribers.cpp
+++ b/coltsfootbend/group/load_subscribers.cpp
@@ -13,44 +13,45 @@
 
 } // namespace
 
-void load_subscribers::hear(const endpoint& address, wire::deployment_knowledge knows, time_point until, time_point now)
+void load_subscribers::subscribe(
+    const endpoint& address, wire::deployment_knowledge knowledge, time_point expiresAt, time_point now)
 {
-    m_subscribers[address] = { .until = until, .heardAt = now, .knows = std::move(knows) };
+    m_subscribers[address] = { .expiresAt = expiresAt, .receivedAt = now, .knowledge = std::move(knowledge) };
 }
 
 void load_subscribers::expire(time_point now)
 {
-    std::erase_if(m_subscribers, [now](const auto& entry) { return entry.second.until < now; });
+    std::erase_if(m_subscribers, [now](const auto& entry) { return entry.second.expiresAt < now; });
 }
 
 // Returns only a gateway that the store serves, or one that has the newest known revision of both tables, so that it is
 // not itself behind. Prefers the requester's data centre. Chooses at random, because one gateway may be unreachable and
 // so that all up-to-date gateways share the load.
-const endpoint* load_subscribers::findInformed(const subscriber& requester)
+const endpoint* load_subscribers::findNewerSource(const subscriber& requester)
 {
-    const auto knowsMore = [&](const subscriber& candidate) {
-        return candidate.knows.configuration.revision > requester.knows.configuration.revision
-            || candidate.knows.servers.revision > requester.knows.servers.revision;
+    const auto isNewer = [&](const subscriber& candidate) {
+        return candidate.knowledge.configuration.revision > requester.knowledge.configuration.revision
+            || candidate.knowledge.servers.revision > requester.knowledge.servers.revision;
     };
     std::uint64_t configuration = 0;
     std::uint64_t servers = 0;
     for (const auto& [address, candidate] : m_subscribers) {
-        configuration = std::max(configuration, candidate.knows.configuration.revision);
-        servers = std::max(servers, candidate.knows.servers.revision);
+        configuration = std::max(configuration, candidate.knowledge.configuration.revision);
+        servers = std::max(servers, candidate.knowledge.servers.revision);
     }
     std::vector<const endpoint*> nearby;
     std::vector<const endpoint*> remote;
     for (const auto& [address, candidate] : m_subscribers) {
-        const bool knowsAll
-            = candidate.knows.configuration.revision == configuration && candidate.knows.servers.revision == servers;
-        if (!knowsMore(candidate) || (!candidate.knows.isServed && !knowsAll))
+        const bool hasNewestTables = candidate.knowledge.configuration.revision == configuration
+            && candidate.knowledge.servers.revision == servers;
+        if (!isNewer(candidate) || (!candidate.knowledge.isServed && !hasNewestTables))
             continue;
-        (candidate.knows.dataCentre == requester.knows.dataCentre ? nearby : remote).push_back(&address);
+        (candidate.knowledge.dataCentre == requester.knowledge.dataCentre ? nearby : remote).push_back(&address);
     }
-    const auto& informed = nearby.empty() ? remote : nearby;
-    if (informed.empty())
+    const auto& sources = nearby.empty() ? remote : nearby;
+    if (sources.empty())
         return nullptr;
-    return informed[std::uniform_int_distribution<std::size_t>(0, informed.size() - 1)(m_random)];
+    return sources[std::uniform_int_distribution<std::size_t>(0, sources.size() - 1)(m_random)];
 }
 
 wire::store_confirmation load_subscribers::configuration(time_point now) const
@@ -68,10 +69,10 @@
 {
     wire::store_confirmation found;
     for (const auto& [address, candidate] : m_subscribers) {
-        const auto& confirmation = candidate.knows.*table;
+        const auto& confirmation = candidate.knowledge.*table;
         if (confirmation.ageMs == wire::store_confirmation::never)
             continue;
-        const auto age = confirmation.ageMs + static_cast<std::uint64_t>(remaining(candidate.heardAt, now).count());
+        const auto age = confirmation.ageMs + static_cast<std::uint64_t>(remaining(candidate.receivedAt, now).count());
         if (age < found.ageMs)
             found = { .revision = confirmation.revision, .ageMs = age };
     }
@@ -86,14 +87,14 @@
 {
     std::map<std::string, std::size_t> served;
     for (const auto& [address, gateway] : m_subscribers)
-        served[gateway.knows.dataCentre] += gateway.knows.isServed ? 1 : 0;
+        served[gateway.knowledge.dataCentre] += gateway.knowledge.isServed ? 1 : 0;
     std::map<endpoint, wire::store_duty> duties;
     std::map<std::string, std::size_t> followers;
     bool hasChecker = false;
     for (const auto& [address, gateway] : m_subscribers) {
-        const auto& dataCentre = gateway.knows.dataCentre;
+        const auto& dataCentre = gateway.knowledge.dataCentre;
         auto& duty = duties[address];
-        if (!gateway.knows.isServed) {
+        if (!gateway.knowledge.isServed) {
             duty = served[dataCentre] > 0 ? wire::store_duty::Rest : wire::store_duty::Follow;
             continue;
         }
--- a/coltsfootbend/group/load_subscribers.h
+++ b/coltsfootbend/group/load_subscribers.h
@@ -20,9 +20,9 @@
 class load_subscribers {
 public:
     struct subscriber {
-        time_point until {};
-        time_point heardAt {};
-        wire::deployment_knowledge knows; // As of `receivedAt`.
+        time_point expiresAt {};
+        time_point receivedAt {};
+        wire::deployment_knowledge knowledge; // As of `receivedAt`.
     };
 
     explicit load_subscribers(std::uint32_t seed)
@@ -31,13 +31,13 @@
     }
 
     // Adds the gateway, or renews its subscription, until `expiresAt`.
-    void hear(const endpoint&, wire::deployment_knowledge, time_point until, time_point now);
+    void subscribe(const endpoint&, wire::deployment_knowledge, time_point expiresAt, time_point now);
     // Removes subscriptions that have expired.
     void expire(time_point now);
     const std::map<endpoint, subscriber>& all() const { return m_subscribers; }
 
     // Returns the address of a gateway that has a newer table of the deployment than `requester`, or null.
-    const endpoint* findInformed(const subscriber& requester);
+    const endpoint* findNewerSource(const subscriber& requester);
 
     // Return the most recent confirmation of a table by any gateway, with its age as of `now`.
     wire::store_confirmation configuration(time_point now) const;
--- a/coltsfootbend/group/load_subscribers_test.cpp
+++ b/coltsfootbend/group/load_subscribers_test.cpp
@@ -21,13 +21,13 @@
 {
     load_subscribers subscribers(1);
     EXPECT_EQ(subscribers.configuration(start).ageMs, wire::store_confirmation::never);
-    subscribers.hear(first, knowing(5, 300), start + 3s, start);
-    subscribers.hear(second, knowing(6, 100), start + 3s, start);
-    subscribers.hear(third, knowing(9, wire::store_confirmation::never), start + 3s, start);
+    subscribers.subscribe(first, knowing(5, 300), start + 3s, start);
+    subscribers.subscribe(second, knowing(6, 100), start + 3s, start);
+    subscribers.subscribe(third, knowing(9, wire::store_confirmation::never), start + 3s, start);
     EXPECT_EQ(subscribers.configuration(start + 50ms).revision, 6U);
     EXPECT_EQ(subscribers.configuration(start + 50ms).ageMs, 150U);
     EXPECT_EQ(subscribers.servers(start).revision, 7U);
-    subscribers.hear(first, knowing(5, 10), start + 4s, start + 1s);
+    subscribers.subscribe(first, knowing(5, 10), start + 4s, start + 1s);
     EXPECT_EQ(subscribers.configuration(start + 1s).revision, 5U);
 }
 
@@ -35,9 +35,9 @@
 {
     load_subscribers subscribers(1);
     EXPECT_TRUE(subscribers.duties().empty());
-    subscribers.hear(third, knowing(5, 0), start + 9s, start);
-    subscribers.hear(second, knowing(5, 0), start + 3s, start);
-    subscribers.hear(first, knowing(5, 0, false), start + 9s, start);
+    subscribers.subscribe(third, knowing(5, 0), start + 9s, start);
+    subscribers.subscribe(second, knowing(5, 0), start + 3s, start);
+    subscribers.subscribe(first, knowing(5, 0, false), start + 9s, start);
     EXPECT_EQ(subscribers.duties().at(second), wire::store_duty::Check);
     EXPECT_EQ(subscribers.duties().at(third), wire::store_duty::Follow);
     subscribers.expire(start + 4s);
@@ -49,10 +49,10 @@
     load_subscribers subscribers(1);
     const endpoint remote { "10.0.0.9", 7000 };
     for (const auto& address : { first, second, third })
-        subscribers.hear(address, knowing(5, 0), start + 9s, start);
+        subscribers.subscribe(address, knowing(5, 0), start + 9s, start);
     auto inOtherDataCentre = knowing(5, 0);
     inOtherDataCentre.dataCentre = "b";
-    subscribers.hear(remote, inOtherDataCentre, start + 9s, start);
+    subscribers.subscribe(remote, inOtherDataCentre, start + 9s, start);
     EXPECT_EQ(subscribers.duties().at(second), wire::store_duty::Follow);
     EXPECT_EQ(subscribers.duties().at(third), wire::store_duty::Rest);
     EXPECT_EQ(subscribers.duties().at(remote), wire::store_duty::Follow);
@@ -62,31 +62,31 @@
 TEST(LoadSubscribers, GatewayBacksOffWhileAnotherOfItsDataCentreIsServed)
 {
     load_subscribers subscribers(1);
-    subscribers.hear(first, knowing(5, 0, false), start + 9s, start);
-    subscribers.hear(second, knowing(5, 0), start + 9s, start);
+    subscribers.subscribe(first, knowing(5, 0, false), start + 9s, start);
+    subscribers.subscribe(second, knowing(5, 0), start + 9s, start);
     EXPECT_EQ(subscribers.duties().at(first), wire::store_duty::Rest);
-    subscribers.hear(second, knowing(5, 0, false), start + 9s, start);
+    subscribers.subscribe(second, knowing(5, 0, false), start + 9s, start);
     EXPECT_EQ(subscribers.duties().at(first), wire::store_duty::Follow);
 }
 
 TEST(LoadSubscribers, NewerSourceIsServedAndInTheSameDataCentreIfPossible)
 {
     load_subscribers subscribers(1);
-    subscribers.hear(first, knowing(5, 0), start + 3s, start);
+    subscribers.subscribe(first, knowing(5, 0), start + 3s, start);
     auto remote = knowing(6, 0);
     remote.dataCentre = "b";
-    subscribers.hear(second, remote, start + 3s, start);
+    subscribers.subscribe(second, remote, start + 3s, start);
     const auto& requester = subscribers.all().at(first);
-    ASSERT_NE(subscribers.findInformed(requester), nullptr);
-    EXPECT_EQ(*subscribers.findInformed(requester), second);
-    subscribers.hear(third, knowing(6, 0), start + 3s, start);
-    EXPECT_EQ(*subscribers.findInformed(requester), third);
+    ASSERT_NE(subscribers.findNewerSource(requester), nullptr);
+    EXPECT_EQ(*subscribers.findNewerSource(requester), second);
+    subscribers.subscribe(third, knowing(6, 0), start + 3s, start);
+    EXPECT_EQ(*subscribers.findNewerSource(requester), third);
     // A gateway that does not read the store is returned only if it has the newest tables.
-    subscribers.hear(third, knowing(6, 0, false), start + 3s, start);
-    EXPECT_EQ(*subscribers.findInformed(requester), third);
+    subscribers.subscribe(third, knowing(6, 0, false), start + 3s, start);
+    EXPECT_EQ(*subscribers.findNewerSource(requester), third);
     remote.configuration.revision = 7;
-    subscribers.hear(second, remote, start + 3s, start);
-    EXPECT_EQ(*subscribers.findInformed(requester), second);
+    subscribers.subscribe(second, remote, start + 3s, start);
+    EXPECT_EQ(*subscribers.findNewerSource(requester), second);
 }
 
 } // namespace
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -166,7 +166,7 @@
 void rank_service::onLoadSubscribe(const endpoint& sender, const wire::load_subscribe& subscription)
 {
     const auto now = clock_type::now();
-    m_subscribers.hear(sender, subscription.knows, now + subscriptionLifetime, now);
+    m_subscribers.subscribe(sender, subscription.knows, now + subscriptionLifetime, now);
     m_watch->hearGateway(sender, subscription.knows);
 }
 
@@ -219,9 +219,9 @@
     std::map<wire::store_duty, std::string> encodedByDuty;
     for (const auto& [address, duty] : m_subscribers.duties()) {
         update.duty = static_cast<std::uint32_t>(duty);
-        const auto* informed = m_subscribers.findInformed(m_subscribers.all().at(address));
-        update.newsAt = informed ? toString(*informed) : "";
-        if (informed) {
+        const auto* newerSource = m_subscribers.findNewerSource(m_subscribers.all().at(address));
+        update.newsAt = newerSource ? toString(*newerSource) : "";
+        if (newerSource) {
             m_datagrams->send(address, encoded());
             continue;
         }
