--- a/coltsfootbend/group/agent_channel.cpp
+++ b/coltsfootbend/group/agent_channel.cpp
@@ -31,7 +31,7 @@
 
 result<wire::rank_state> agent_channel::ask(const wire::rank_order& order, time_point deadline)
 {
-    if (isAskedDirectly())
+    if (isAgentUnresponsive())
         return askEngine(order, deadline);
     const auto reply = m_peers.ask(m_agent, bodyOf(order), deadline);
     if (!reply) {
@@ -60,7 +60,7 @@
     return { .number = 0, .host = m_agent.ip, .life = 0, .dataCentre = m_dataCentre };
 }
 
-void agent_channel::noteRelayed(const result<wire::rank_state>& state)
+void agent_channel::onRelayedAnswer(const result<wire::rank_state>& state)
 {
     if (state)
         setGroup(state->group);
--- a/coltsfootbend/group/agent_channel.h
+++ b/coltsfootbend/group/agent_channel.h
@@ -22,8 +22,8 @@
     result<wire::rank_state> ask(const wire::rank_order&, time_point deadline) override;
     result<void> hold(group_epoch, pass_number step, time_point deadline) override;
     wire::relay_target relayTarget() const override;
-    bool isAskedDirectly() const override { return clock_type::now() < m_agentUnresponsiveUntil; }
-    void noteRelayed(const result<wire::rank_state>&) override;
+    bool isAgentUnresponsive() const override { return clock_type::now() < m_agentUnresponsiveUntil; }
+    void onRelayedAnswer(const result<wire::rank_state>&) override;
 
     // Sets the data centre of the rank's VM, numbered by the leader.
     void setDataCentre(std::uint32_t number) { m_dataCentre = number; }
--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -132,8 +132,8 @@
         const auto its = m_group.dataCentreOf(m_to);
         return { .number = 0, .host = std::to_string(m_to), .life = 0, .dataCentre = its == own ? 0 : its + 1 };
     }
-    bool isAskedDirectly() const override { return false; }
-    void noteRelayed(const result<wire::rank_state>&) override { }
+    bool isAgentUnresponsive() const override { return false; }
+    void onRelayedAnswer(const result<wire::rank_state>&) override { }
 
 private:
     large_group& m_group;
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -226,8 +226,8 @@
     {
         return { .number = 0, .host = std::to_string(m_index), .life = 0, .dataCentre = 0 };
     }
-    bool isAskedDirectly() const override { return clock_type::now() < m_unresponsiveUntil; }
-    void noteRelayed(const result<wire::rank_state>& state) override
+    bool isAgentUnresponsive() const override { return clock_type::now() < m_unresponsiveUntil; }
+    void onRelayedAnswer(const result<wire::rank_state>& state) override
     {
         if (!state)
             m_unresponsiveUntil = clock_type::now() + 200ms;
--- a/coltsfootbend/group/rank_channel.cpp
+++ b/coltsfootbend/group/rank_channel.cpp
@@ -50,7 +50,7 @@
 {
     partitioned_addressees partition;
     for (std::size_t i = 0; i < to.size(); ++i) {
-        if (to[i].channel->isAskedDirectly()) {
+        if (to[i].channel->isAgentUnresponsive()) {
             partition.directAddressees.push_back(to[i]);
             partition.directIndices.push_back(i);
             continue;
@@ -65,7 +65,7 @@
 }
 
 // Notifies the channels which ranks answered.
-void noteRelayed(
+void notifyChannels(
     const partitioned_addressees& partition, const std::vector<addressee>& to, const dispatch_result& dispatched)
 {
     const auto missing = std::count_if(partition.targets.begin(), partition.targets.end(),
@@ -74,7 +74,7 @@
     for (const auto& target : partition.targets) {
         const auto& state = dispatched.states[target.number];
         if (state || !isBranchLost)
-            to[target.number].channel->noteRelayed(state);
+            to[target.number].channel->onRelayedAnswer(state);
     }
 }
 
@@ -141,7 +141,7 @@
         if (state.target < to.size())
             dispatched.states[state.target] = std::move(state);
     }
-    noteRelayed(partition, to, dispatched);
+    notifyChannels(partition, to, dispatched);
     if (!partition.directAddressees.empty() && direct->states.empty())
         (void)direct->answered.waitUntil(deadline + directAnswerGrace);
     for (std::size_t i = 0; i < direct->states.size(); ++i)
--- a/coltsfootbend/group/rank_channel.h
+++ b/coltsfootbend/group/rank_channel.h
@@ -30,9 +30,9 @@
     // Returns the address of the rank's agent for relayed orders; the sender sets the target's number and incarnation.
     virtual wire::relay_target relayTarget() const = 0;
     // True while the rank's agent is known to be unresponsive, so that only `ask` reaches the rank.
-    virtual bool isAskedDirectly() const = 0;
+    virtual bool isAgentUnresponsive() const = 0;
     // Notifies the channel of the rank's answer to a relayed order, or of the lack of one.
-    virtual void noteRelayed(const result<wire::rank_state>&) = 0;
+    virtual void onRelayedAnswer(const result<wire::rank_state>&) = 0;
 };
 
 // One rank that an order is sent to.
