--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -227,7 +227,7 @@
             int open = 2;
             const auto begunAt = clock_type::now();
             runtime.spawn([&] {
-                const auto term = group.agents[0]->participant.claim(0);
+                const auto term = group.agents[0]->participant.claimLeadership(0);
                 while (!isOver)
                     runtime.sleepFor(std::max<duration>(group.agents[0]->leader.runRound(term), 1ms));
                 --open;
--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -136,7 +136,7 @@
 void map_leader::yieldToHigherTerm(const wire::rank_state& state)
 {
     if (state.term > m_term)
-        m_participant.yield(state.term);
+        m_participant.observeTerm(state.term);
 }
 
 wire::order_scope map_leader::queryScope(rank_number rank) const
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -335,8 +335,8 @@
         const auto term = agent.participant->term();
         if (term != 0 && leaderOf(term) == rank)
             runtime.sleepFor(std::max<duration>(agent.leader->runRound(term), 1ms));
-        else if (clock_type::now() > agent.participant->heardAt() + leaderTimeout)
-            (void)agent.participant->claim(rank);
+        else if (clock_type::now() > agent.participant->leaderReceivedAt() + leaderTimeout)
+            (void)agent.participant->claimLeadership(rank);
         else
             runtime.sleepFor(10ms);
     }
--- a/coltsfootbend/group/map_participant.cpp
+++ b/coltsfootbend/group/map_participant.cpp
@@ -47,7 +47,7 @@
     return m_term == scope.term && isNewest;
 }
 
-leader_term map_participant::claim(rank_number rank)
+leader_term map_participant::claimLeadership(rank_number rank)
 {
     m_term = termAfter(m_term, rank);
     m_leaderReceivedAt = clock_type::now();
--- a/coltsfootbend/group/map_participant.h
+++ b/coltsfootbend/group/map_participant.h
@@ -37,15 +37,15 @@
     // Group that the engine belongs to; empty while unknown.
     const std::string& group() const { return m_group; }
     // Time of the last message from a current leader; also reset when the engine joins another group.
-    time_point heardAt() const { return m_leaderReceivedAt; }
+    time_point leaderReceivedAt() const { return m_leaderReceivedAt; }
     // True from the order to arm a switch until the leader releases the pass.
     bool isArmed() const { return m_isArmed; }
     // True while a map is prepared but not yet in use, so that a change is in progress.
     bool isPrepared() const { return m_isPrepared; }
     // Makes this rank the leader and returns its new term, which is above all terms received.
-    leader_term claim(rank_number rank);
+    leader_term claimLeadership(rank_number rank);
     // Takes in the term of a leader, as reported by another rank.
-    void yield(leader_term term) { (void)acceptTerm(term); }
+    void observeTerm(leader_term term) { (void)acceptTerm(term); }
 
 private:
     result<wire::rank_state> query(const wire::rank_query&, wire::rank_state, time_point deadline);
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -249,11 +249,11 @@
         updateOtherRanks();
         return lead->runRound(m_participant.term());
     }
-    if (m_participant.heardAt() == time_point {})
-        m_participant.yield(0); // The timeout starts when this agent starts.
-    if (now < m_participant.heardAt() + takeoverTimeout())
+    if (m_participant.leaderReceivedAt() == time_point {})
+        m_participant.observeTerm(0); // The timeout starts when this agent starts.
+    if (now < m_participant.leaderReceivedAt() + takeoverTimeout())
         return followInterval;
-    const auto term = m_participant.claim(rank);
+    const auto term = m_participant.claimLeadership(rank);
     logEvent(log_event::MapLeader,
         "group=" + m_group->name + " rank=" + std::to_string(rank) + " term=" + std::to_string(term));
     return duration::zero();
