--- a/coltsfootbend/group/rank_agent.cpp
+++ b/coltsfootbend/group/rank_agent.cpp
@@ -23,8 +23,8 @@
 
 rank_agent::rank_agent(const options& options)
     : m_options(options)
-    , m_granted(options.engineAt)
-    , m_limit(options.engineAt)
+    , m_granted(options.lastEngineStep)
+    , m_limit(options.lastEngineStep)
 {
 }
 
@@ -55,7 +55,7 @@
     return std::nullopt;
 }
 
-std::optional<rank_message> rank_agent::loaded(map_version map)
+std::optional<rank_message> rank_agent::onMapLoaded(map_version map)
 {
     m_loaded.insert(map);
     while (m_loaded.size() > maxLoadedMaps) {
@@ -96,7 +96,7 @@
         // An existing limit is not raised, because it may have been reported to an earlier coordinator.
         m_limit = std::min(m_limit, m_granted + (m_hasJoined ? m_options.promiseMargin : 0));
     }
-    return switch_promised { message.epoch, m_options.life, m_limit, m_schedule };
+    return switch_promised { message.epoch, m_options.ownIncarnation, m_limit, m_schedule };
 }
 
 std::optional<rank_message> rank_agent::on(const decide_switch& message)
@@ -105,7 +105,7 @@
     // earlier incarnations.
     if (message.epoch != m_promised)
         return switch_refused { message.epoch, m_promised };
-    if (m_options.rank >= message.incarnations.size() || message.incarnations[m_options.rank] != m_options.life)
+    if (m_options.rank >= message.incarnations.size() || message.incarnations[m_options.rank] != m_options.ownIncarnation)
         return switch_refused { message.epoch, m_promised };
     m_schedule = message.schedule;
     // Drops segments that no engine needs any more. A restarted rank may be up to `maxGrantAhead` steps behind this
@@ -116,7 +116,7 @@
     selectNextMap();
     m_hasJoined = true;
     m_limit = unlimited;
-    return switch_applied { message.epoch, m_options.life };
+    return switch_applied { message.epoch, m_options.ownIncarnation };
 }
 
 std::optional<rank_message> rank_agent::on(const release_promise& message)
--- a/coltsfootbend/group/rank_agent.h
+++ b/coltsfootbend/group/rank_agent.h
@@ -22,11 +22,11 @@
 public:
     struct options {
         rank_number rank = 0;
-        incarnation life; // Of this agent's process.
+        incarnation ownIncarnation; // Of this agent's process.
         // Number of steps that a promise allows beyond those already granted; long enough for a decision to arrive.
         step_number promiseMargin = 64;
         // Last step that the engine ran, or was granted and may still run, before this incarnation.
-        step_number engineAt = 0;
+        step_number lastEngineStep = 0;
     };
 
     // Largest number of steps that may be granted beyond the last one that the engine has run.
@@ -42,10 +42,10 @@
     std::optional<rank_message> handle(const coordinator_message&);
 
     // Records that the engine has loaded a map. Returns the answer to the coordinator that requested it, if any.
-    std::optional<rank_message> loaded(map_version);
+    std::optional<rank_message> onMapLoaded(map_version);
 
     // Map that the engine should load next; none if there is nothing to load.
-    std::optional<map_version> wantedMap() const { return m_mapToLoad; }
+    std::optional<map_version> mapToLoad() const { return m_mapToLoad; }
 
     const map_schedule& schedule() const { return m_schedule; }
     step_number granted() const { return m_granted; }
--- a/coltsfootbend/measure/group_trial.cpp
+++ b/coltsfootbend/measure/group_trial.cpp
@@ -94,7 +94,7 @@
     {
         auto& state = m_ranks[rank];
         state.agent = std::make_unique<rank_agent>(
-            rank_agent::options { .rank = rank, .life = incarnation(++m_lives), .engineAt = m_step });
+            rank_agent::options { .rank = rank, .ownIncarnation = incarnation(++m_lives), .lastEngineStep = m_step });
         state.granted.clear(); // The engine was told to stop after the step that it is in.
         state.nextGrant = m_step + 1;
         state.loading.reset();
@@ -146,7 +146,7 @@
     void loadIfWanted(rank_number rank)
     {
         auto& state = m_ranks[rank];
-        const auto wanted = state.agent->wantedMap();
+        const auto wanted = state.agent->mapToLoad();
         if (!wanted || state.loading == wanted)
             return;
         state.loading = wanted;
@@ -155,7 +155,7 @@
             if (now.agent.get() != agent)
                 return;
             now.loading.reset();
-            answer(rank, now.agent->loaded(map));
+            answer(rank, now.agent->onMapLoaded(map));
             loadIfWanted(rank);
             pump();
         });
@@ -241,7 +241,7 @@
         for (rank_number rank = 0; rank < m_options.ranks; ++rank) {
             const auto take = [this, rank, map, at] {
                 auto& agent = *m_ranks[rank].agent;
-                (void)agent.loaded(map);
+                (void)agent.onMapLoaded(map);
                 auto schedule = agent.schedule();
                 schedule.segments.push_back({ at, map });
                 const map_epoch epoch { ++m_epoch, 1 };
