--- a/coltsfootbend/group/load_subscribers.h
+++ b/coltsfootbend/group/load_subscribers.h
@@ -20,8 +20,8 @@
 class load_subscribers {
 public:
     struct subscriber {
-        time_point expiresAt {};
-        time_point receivedAt {};
+        time_point expiresAt {}; // No updates are sent after this time.
+        time_point receivedAt {}; // Time of the last message.
         wire::deployment_knowledge knowledge; // As of `receivedAt`.
     };
 
--- a/coltsfootbend/group/map_participant.h
+++ b/coltsfootbend/group/map_participant.h
@@ -38,7 +38,7 @@
     const std::string& group() const { return m_group; }
     // Time of the last message from a current leader; also reset when the engine joins another group.
     time_point leaderReceivedAt() const { return m_leaderReceivedAt; }
-    // True from the order to arm a switch until the leader releases the pass.
+    // True from the order to arm a switch until the leader releases the pass, or the engine reports that none is armed.
     bool isArmed() const { return m_isArmed; }
     // True while a map is prepared but not yet in use, so that a change is in progress.
     bool isPrepared() const { return m_isPrepared; }
--- a/coltsfootbend/group/order_relay.h
+++ b/coltsfootbend/group/order_relay.h
@@ -30,7 +30,7 @@
     virtual result<wire::relayed_answers> send(const wire::relayed_order&, time_point deadline) = 0;
 };
 
-// Callback that is run periodically while a call waits for answers.
+// Heartbeat that is sent periodically while a call waits for answers.
 struct rank_heartbeat {
     duration interval {};
     std::function<void()> send;
--- a/coltsfootbend/group/rank_orders.cpp
+++ b/coltsfootbend/group/rank_orders.cpp
@@ -17,7 +17,7 @@
 
 tl::unexpected<error> staleOrderError(const std::string& reason)
 {
-    return fail(error_kind::Stale, "the engine's state rules the order out: " + reason, "Read the group's state anew");
+    return fail(error_kind::Stale, "the engine's state rules the order out: " + reason, "Read the group's state again");
 }
 
 } // namespace
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -16,11 +16,13 @@
 // Interval at which the engine's load is read and may be sent. Gateways use a report for longer, so one or two lost
 // datagrams do no harm.
 constexpr std::chrono::milliseconds loadUpdateInterval { 100 };
+// Timeout of reading the engine's report.
 constexpr std::chrono::milliseconds reportTimeout { 300 };
 // Time after its last message for which a gateway is sent updates.
 constexpr std::chrono::seconds subscriptionLifetime { 3 };
 // Subtracted from the time of an order, so that the answer arrives before the leader's deadline.
 constexpr std::chrono::milliseconds answerMargin { 100 };
+// Maximum times for carrying out the orders of a leader, less the margin above except for queries.
 constexpr std::chrono::milliseconds prepareTimeout { 2500 };
 constexpr std::chrono::milliseconds armTimeout { 800 };
 constexpr std::chrono::milliseconds queryTimeout { 250 };
