--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -132,8 +132,8 @@
         const auto its = m_group.dataCentreOf(m_to);
         return { .number = 0, .host = std::to_string(m_to), .life = 0, .dataCentre = its == own ? 0 : its + 1 };
     }
-    bool isAskedDirectly() const override { return false; }
-    void noteRelayed(const result<wire::rank_state>&) override { }
+    bool isAgentUnresponsive() const override { return false; }
+    void onRelayedAnswer(const result<wire::rank_state>&) override { }
 
 private:
     large_group& m_group;
@@ -164,7 +164,7 @@
     link_transport transport;
     order_relay relay;
     relay_node node;
-    relay_carrier carrier;
+    relay_dispatcher carrier;
     map_leader leader;
 };
 
@@ -227,7 +227,7 @@
             int open = 2;
             const auto begunAt = clock_type::now();
             runtime.spawn([&] {
-                const auto term = group.agents[0]->participant.claim(0);
+                const auto term = group.agents[0]->participant.claimLeadership(0);
                 while (!isOver)
                     runtime.sleepFor(std::max<duration>(group.agents[0]->leader.runRound(term), 1ms));
                 --open;
--- a/coltsfootbend/group/load_subscribers_test.cpp
+++ b/coltsfootbend/group/load_subscribers_test.cpp
@@ -17,76 +17,76 @@
     return { .configuration = { revision, ageMs }, .servers = { 7, ageMs }, .isServed = isServed, .dataCentre = "a" };
 }
 
-TEST(LoadSubscribers, TheYoungestConfirmationGrowsOlderWithTime)
+TEST(LoadSubscribers, NewestConfirmationAgesWithTime)
 {
     load_subscribers subscribers(1);
     EXPECT_EQ(subscribers.configuration(start).ageMs, wire::store_confirmation::never);
-    subscribers.hear(first, knowing(5, 300), start + 3s, start);
-    subscribers.hear(second, knowing(6, 100), start + 3s, start);
-    subscribers.hear(third, knowing(9, wire::store_confirmation::never), start + 3s, start);
+    subscribers.subscribe(first, knowing(5, 300), start + 3s, start);
+    subscribers.subscribe(second, knowing(6, 100), start + 3s, start);
+    subscribers.subscribe(third, knowing(9, wire::store_confirmation::never), start + 3s, start);
     EXPECT_EQ(subscribers.configuration(start + 50ms).revision, 6U);
     EXPECT_EQ(subscribers.configuration(start + 50ms).ageMs, 150U);
     EXPECT_EQ(subscribers.servers(start).revision, 7U);
-    subscribers.hear(first, knowing(5, 10), start + 4s, start + 1s);
+    subscribers.subscribe(first, knowing(5, 10), start + 4s, start + 1s);
     EXPECT_EQ(subscribers.configuration(start + 1s).revision, 5U);
 }
 
-TEST(LoadSubscribers, TheFirstGatewayThatIsServedAsksTheStoreForAll)
+TEST(LoadSubscribers, FirstServedGatewayChecksTheStoreForAll)
 {
     load_subscribers subscribers(1);
     EXPECT_TRUE(subscribers.duties().empty());
-    subscribers.hear(third, knowing(5, 0), start + 9s, start);
-    subscribers.hear(second, knowing(5, 0), start + 3s, start);
-    subscribers.hear(first, knowing(5, 0, false), start + 9s, start);
+    subscribers.subscribe(third, knowing(5, 0), start + 9s, start);
+    subscribers.subscribe(second, knowing(5, 0), start + 3s, start);
+    subscribers.subscribe(first, knowing(5, 0, false), start + 9s, start);
     EXPECT_EQ(subscribers.duties().at(second), wire::store_duty::Check);
     EXPECT_EQ(subscribers.duties().at(third), wire::store_duty::Follow);
     subscribers.expire(start + 4s);
     EXPECT_EQ(subscribers.duties().at(third), wire::store_duty::Check);
 }
 
-TEST(LoadSubscribers, TwoOfEachDataCentreFollowTheStoreAndTheOthersRest)
+TEST(LoadSubscribers, TwoGatewaysPerDataCentreFollowTheStoreAndTheOthersBackOff)
 {
     load_subscribers subscribers(1);
-    const endpoint far { "10.0.0.9", 7000 };
+    const endpoint remote { "10.0.0.9", 7000 };
     for (const auto& address : { first, second, third })
-        subscribers.hear(address, knowing(5, 0), start + 9s, start);
-    auto elsewhere = knowing(5, 0);
-    elsewhere.dataCentre = "b";
-    subscribers.hear(far, elsewhere, start + 9s, start);
+        subscribers.subscribe(address, knowing(5, 0), start + 9s, start);
+    auto inOtherDataCentre = knowing(5, 0);
+    inOtherDataCentre.dataCentre = "b";
+    subscribers.subscribe(remote, inOtherDataCentre, start + 9s, start);
     EXPECT_EQ(subscribers.duties().at(second), wire::store_duty::Follow);
     EXPECT_EQ(subscribers.duties().at(third), wire::store_duty::Rest);
-    EXPECT_EQ(subscribers.duties().at(far), wire::store_duty::Follow);
+    EXPECT_EQ(subscribers.duties().at(remote), wire::store_duty::Follow);
 }
 
-// The end of one follower would else make all others ask the store at the same moment.
-TEST(LoadSubscribers, WhoRestsGoesOnToWhileOneOfItsDataCentreIsServed)
+// If the end of a follower ended the backoff of the other gateways, all of them would read the store at the same time.
+TEST(LoadSubscribers, GatewayBacksOffWhileAnotherOfItsDataCentreIsServed)
 {
     load_subscribers subscribers(1);
-    subscribers.hear(first, knowing(5, 0, false), start + 9s, start);
-    subscribers.hear(second, knowing(5, 0), start + 9s, start);
+    subscribers.subscribe(first, knowing(5, 0, false), start + 9s, start);
+    subscribers.subscribe(second, knowing(5, 0), start + 9s, start);
     EXPECT_EQ(subscribers.duties().at(first), wire::store_duty::Rest);
-    subscribers.hear(second, knowing(5, 0, false), start + 9s, start);
+    subscribers.subscribe(second, knowing(5, 0, false), start + 9s, start);
     EXPECT_EQ(subscribers.duties().at(first), wire::store_duty::Follow);
 }
 
-TEST(LoadSubscribers, WhoKnowsMoreIsServedAndOfTheSameDataCentreIfThereIsOne)
+TEST(LoadSubscribers, NewerSourceIsServedAndInTheSameDataCentreIfPossible)
 {
     load_subscribers subscribers(1);
-    subscribers.hear(first, knowing(5, 0), start + 3s, start);
-    auto far = knowing(6, 0);
-    far.dataCentre = "b";
-    subscribers.hear(second, far, start + 3s, start);
-    const auto& asker = subscribers.all().at(first);
-    ASSERT_NE(subscribers.findInformed(asker), nullptr);
-    EXPECT_EQ(*subscribers.findInformed(asker), second);
-    subscribers.hear(third, knowing(6, 0), start + 3s, start);
-    EXPECT_EQ(*subscribers.findInformed(asker), third);
-    // One that rests helps to spread news that are the newest, and no older ones.
-    subscribers.hear(third, knowing(6, 0, false), start + 3s, start);
-    EXPECT_EQ(*subscribers.findInformed(asker), third);
-    far.configuration.revision = 7;
-    subscribers.hear(second, far, start + 3s, start);
-    EXPECT_EQ(*subscribers.findInformed(asker), second);
+    subscribers.subscribe(first, knowing(5, 0), start + 3s, start);
+    auto remote = knowing(6, 0);
+    remote.dataCentre = "b";
+    subscribers.subscribe(second, remote, start + 3s, start);
+    const auto& requester = subscribers.all().at(first);
+    ASSERT_NE(subscribers.findNewerSource(requester), nullptr);
+    EXPECT_EQ(*subscribers.findNewerSource(requester), second);
+    subscribers.subscribe(third, knowing(6, 0), start + 3s, start);
+    EXPECT_EQ(*subscribers.findNewerSource(requester), third);
+    // A gateway that does not read the store is returned only if it has the newest tables.
+    subscribers.subscribe(third, knowing(6, 0, false), start + 3s, start);
+    EXPECT_EQ(*subscribers.findNewerSource(requester), third);
+    remote.configuration.revision = 7;
+    subscribers.subscribe(second, remote, start + 3s, start);
+    EXPECT_EQ(*subscribers.findNewerSource(requester), second);
 }
 
 } // namespace
--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -120,7 +120,7 @@
 
 } // namespace
 
-map_leader::map_leader(fiber_runtime& runtime, map_participant& participant, order_carrier& carrier,
+map_leader::map_leader(fiber_runtime& runtime, map_participant& participant, order_dispatcher& carrier,
     const options& options, std::minstd_rand::result_type seed)
     : m_runtime(runtime)
     , m_participant(participant)
@@ -136,7 +136,7 @@
 void map_leader::yieldToHigherTerm(const wire::rank_state& state)
 {
     if (state.term > m_term)
-        m_participant.yield(state.term);
+        m_participant.observeTerm(state.term);
 }
 
 wire::order_scope map_leader::queryScope(rank_number rank) const
@@ -155,10 +155,10 @@
     return scope;
 }
 
-carried_order map_leader::sendToAll(const wire::rank_order& order, const std::vector<addressee>& to, duration timeout)
+dispatch_result map_leader::sendToAll(const wire::rank_order& order, const std::vector<addressee>& to, duration timeout)
 {
-    auto carried = m_carrier.carry(order, to, clock_type::now() + timeout,
-        { .every = m_options.heartbeatInterval, .beat = [this] { sendHeartbeat(); } });
+    auto carried = m_carrier.dispatch(order, to, clock_type::now() + timeout,
+        { .interval = m_options.heartbeatInterval, .send = [this] { sendHeartbeat(); } });
     for (const auto& state : carried.states) {
         if (state && state->group == m_group)
             yieldToHigherTerm(*state);
@@ -171,8 +171,9 @@
     std::vector<addressee> to;
     to.reserve(members.size());
     for (const auto& member : members)
-        to.push_back({ .channel = member.channel,
-            .life = member.rank < m_incarnations.size() ? m_incarnations[member.rank] : 0 });
+        to.push_back(
+            { .channel = member.channel,
+            .incarnation = member.rank < m_incarnations.size() ? m_incarnations[member.rank] : 0 });
     return to;
 }
 
@@ -203,7 +204,7 @@
     const wire::rank_query query { .scope = { .term = m_term, .group = m_group, .epoch = m_epoch } };
     // The answers are not needed: a newer leader's term also arrives with the answers to the step itself.
     m_runtime.spawn([&carrier = m_carrier, query, to = addresseesOf(m_members), deadline] {
-        (void)carrier.carry(query, to, deadline, {});
+        (void)carrier.dispatch(query, to, deadline, {});
     });
 }
 
@@ -217,7 +218,7 @@
     std::sort(candidates.begin(), candidates.end());
     candidates.resize(std::min<std::size_t>(candidates.size(), m_options.maxDemandSources));
     for (const auto& [isRemote, index] : candidates)
-        to[index].tellsDemand = true;
+        to[index].reportsDemand = true;
 }
 
 map_leader::states_by_rank map_leader::collectStates(duration timeout)
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -121,12 +121,12 @@
         , engine(runtime, group, number, stalledUntil)
         , participant(std::make_unique<map_participant>(runtime, engine))
         , transport(runtime, group, faults, agents, *this)
-        , relay(runtime, transport, { .fanOut = 1, .silentPause = 100ms, .hopSlack = 3ms })
+        , relay(runtime, transport, { .fanOut = 1, .unresponsivePeriod = 100ms, .hopSlack = 3ms })
         , node(runtime, *participant, relay)
         , direct(runtime)
         , relayed(runtime, relay)
         , leader(std::make_unique<map_leader>(runtime, *participant,
-              route == order_route::Direct ? static_cast<order_carrier&>(direct) : relayed,
+              route == order_route::Direct ? static_cast<order_dispatcher&>(direct) : relayed,
               map_leader::options { .planner = { .placesPerRank = 6, .maxNewExpertsPerSet = 2, .gainPerMove = 0.001 },
                   .sets = sets,
                   .experts = experts,
@@ -146,8 +146,8 @@
     model_transport transport;
     order_relay relay;
     relay_node node;
-    direct_carrier direct;
-    relay_carrier relayed;
+    direct_dispatcher direct;
+    relay_dispatcher relayed;
     std::unique_ptr<map_leader> leader;
 };
 
@@ -226,8 +226,8 @@
     {
         return { .number = 0, .host = std::to_string(m_index), .life = 0, .dataCentre = 0 };
     }
-    bool isAskedDirectly() const override { return clock_type::now() < m_unresponsiveUntil; }
-    void noteRelayed(const result<wire::rank_state>& state) override
+    bool isAgentUnresponsive() const override { return clock_type::now() < m_unresponsiveUntil; }
+    void onRelayedAnswer(const result<wire::rank_state>& state) override
     {
         if (!state)
             m_unresponsiveUntil = clock_type::now() + 200ms;
@@ -335,8 +335,8 @@
         const auto term = agent.participant->term();
         if (term != 0 && leaderOf(term) == rank)
             runtime.sleepFor(std::max<duration>(agent.leader->runRound(term), 1ms));
-        else if (clock_type::now() > agent.participant->heardAt() + leaderTimeout)
-            (void)agent.participant->claim(rank);
+        else if (clock_type::now() > agent.participant->leaderReceivedAt() + leaderTimeout)
+            (void)agent.participant->claimLeadership(rank);
         else
             runtime.sleepFor(10ms);
     }
--- a/coltsfootbend/group/order_relay_test.cpp
+++ b/coltsfootbend/group/order_relay_test.cpp
@@ -16,7 +16,7 @@
 
 using target_list = std::vector<wire::relay_target>;
 
-// Numbered from 0, evenly over the data centres, side by side.
+// Returns targets numbered from 0, split evenly over the data centres, those of one data centre adjacent.
 target_list targetsOf(std::uint32_t ranks, std::uint32_t dataCentres)
 {
     target_list targets;
@@ -25,7 +25,8 @@
     return targets;
 }
 
-// Agents that hand orders on to each other in memory. Some are gone, some take orders and never answer.
+// Agents that relay orders to each other in memory. Agents in `unreachable` do not accept orders; agents in
+// `terminating` terminate after relaying the order, before they answer.
 class model_agents final : public relay_transport {
 public:
     model_agents(fiber_runtime& runtime, std::uint32_t ranks)
@@ -40,14 +41,14 @@
         ++messages;
         bytes += wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = order }).size();
         m_runtime.sleepFor(1ms);
-        if (gone.contains(order.own.number)) {
+        if (unreachable.contains(order.own.number)) {
             m_runtime.sleepFor(20ms);
-            return fail(error_kind::TimedOut, "gone");
+            return fail(error_kind::TimedOut, "the agent is unreachable");
         }
         const auto limit = clock_type::now() + std::chrono::milliseconds(order.timeLeftMs);
         auto gathered = m_relay.deliver(order.order, order.others, limit);
-        if (dies.contains(order.own.number))
-            return fail(error_kind::Lost, "it died with its answer");
+        if (terminating.contains(order.own.number))
+            return fail(error_kind::Lost, "the agent terminated before its answer");
         wire::rank_state own;
         own.rank = order.own.number;
         own.ranks = m_ranks;
@@ -61,8 +62,8 @@
 
     order_relay& relay() { return m_relay; }
 
-    std::set<std::uint32_t> gone;
-    std::set<std::uint32_t> dies;
+    std::set<std::uint32_t> unreachable;
+    std::set<std::uint32_t> terminating;
     std::size_t messages = 0;
     std::size_t bytes = 0;
 
@@ -94,7 +95,7 @@
     return numbers;
 }
 
-RC_GTEST_PROP(OrderRelay, EveryTargetIsInOneBranchAndTheBranchesAreFew, ())
+RC_GTEST_PROP(OrderRelay, EachTargetIsInExactlyOneBranchAndBranchesAreLimited, ())
 {
     const auto ranks = *rc::gen::inRange<std::uint32_t>(0, 300);
     const auto dataCentres = *rc::gen::inRange<std::uint32_t>(1, 12);
@@ -110,17 +111,17 @@
     RC_ASSERT(seen.size() == ranks);
 }
 
-TEST(OrderRelay, AnOrderCrossesOnceToEachOtherDataCentre)
+TEST(OrderRelay, OrderIsSentOnceToEachOtherDataCentre)
 {
     constexpr std::uint32_t dataCentres = 5;
-    std::size_t crossing = 0;
+    std::size_t remoteBranches = 0;
     for (const auto& branch : splitTargets(targetsOf(129, dataCentres), 6)) {
         const bool isNear = branch.front().dataCentre == 0;
-        crossing += isNear ? 0 : 1;
+        remoteBranches += isNear ? 0 : 1;
         for (const auto& target : branch)
             EXPECT_EQ(target.dataCentre, branch.front().dataCentre);
     }
-    EXPECT_EQ(crossing, dataCentres - 1);
+    EXPECT_EQ(remoteBranches, dataCentres - 1);
 }
 
 TEST(OrderRelay, AllRanksAnswerAndTheirCountsAreSummed)
@@ -130,62 +131,62 @@
         const auto got = agents.relay().deliver(wire::rank_query {}, targetsOf(ranks, 5), clock_type::now() + 2s);
         EXPECT_EQ(numbersOf(got).size(), std::size_t { ranks });
         EXPECT_EQ(got.demand, (std::vector<std::uint32_t> { ranks, ranks * (ranks - 1) / 2 }));
-        EXPECT_EQ(agents.messages, std::size_t { ranks }) << "each is told once";
+        EXPECT_EQ(agents.messages, std::size_t { ranks }) << "each rank receives the order once";
         for (const auto& state : got.states)
-            EXPECT_EQ(state.life, 1000 + state.target) << "each rank is asked for its own life";
+            EXPECT_EQ(state.life, 1000 + state.target) << "the order names the incarnation of each rank";
     });
 }
 
-TEST(OrderRelay, AgentsThatAreGoneAreGoneRoundInTheSameOrder)
+TEST(OrderRelay, UnreachableAgentsAreBypassedWithinTheSameOrder)
 {
     constexpr std::uint32_t ranks = 63;
     withAgents(ranks, [](model_agents& agents) {
         const auto targets = targetsOf(ranks, 3);
         for (const auto& branch : splitTargets(targets, order_relay::options {}.fanOut))
-            agents.gone.insert(branch.front().number);
-        const auto begun = clock_type::now();
-        const auto got = agents.relay().deliver(wire::rank_query {}, targets, begun + 2s);
-        EXPECT_EQ(numbersOf(got).size(), ranks - agents.gone.size());
-        EXPECT_LT(clock_type::now() - begun, 500ms) << "not left to the deadline";
+            agents.unreachable.insert(branch.front().number);
+        const auto startedAt = clock_type::now();
+        const auto got = agents.relay().deliver(wire::rank_query {}, targets, startedAt + 2s);
+        EXPECT_EQ(numbersOf(got).size(), ranks - agents.unreachable.size());
+        EXPECT_LT(clock_type::now() - startedAt, 500ms) << "does not wait for the deadline";
         agents.messages = 0;
         (void)agents.relay().deliver(wire::rank_query {}, targets, clock_type::now() + 2s);
-        EXPECT_EQ(agents.messages, ranks - agents.gone.size()) << "and are not spoken with again at once";
+        EXPECT_EQ(agents.messages, ranks - agents.unreachable.size()) << "unreachable agents are not retried at once";
     });
 }
 
-TEST(OrderRelay, ABranchWhoseFirstAgentDiesWithTheAnswerIsAskedByWayOfTheNext)
+TEST(OrderRelay, BranchIsSentToTheNextAgentIfTheFirstTerminatesBeforeItsAnswer)
 {
     constexpr std::uint32_t ranks = 63;
     withAgents(ranks, [](model_agents& agents) {
         const auto targets = targetsOf(ranks, 3);
-        agents.dies.insert(splitTargets(targets, order_relay::options {}.fanOut).back().front().number);
+        agents.terminating.insert(splitTargets(targets, order_relay::options {}.fanOut).back().front().number);
         const auto got = agents.relay().deliver(wire::rank_query {}, targets, clock_type::now() + 2s);
         EXPECT_EQ(numbersOf(got).size(), ranks - 1);
     });
 }
 
-// What is told is bounded by the time, also where most are gone.
-TEST(OrderRelay, WhoeverDoesNotAnswerInTimeIsLeftOut)
+// The deadline limits the whole delivery even if no agent is reachable.
+TEST(OrderRelay, RanksThatDoNotAnswerByTheDeadlineAreMissing)
 {
     constexpr std::uint32_t ranks = 40;
     withAgents(ranks, [](model_agents& agents) {
         for (std::uint32_t rank = 0; rank < ranks; ++rank)
-            agents.gone.insert(rank);
-        const auto begun = clock_type::now();
-        const auto got = agents.relay().deliver(wire::rank_query {}, targetsOf(ranks, 2), begun + 100ms);
+            agents.unreachable.insert(rank);
+        const auto startedAt = clock_type::now();
+        const auto got = agents.relay().deliver(wire::rank_query {}, targetsOf(ranks, 2), startedAt + 100ms);
         EXPECT_TRUE(got.states.empty());
-        EXPECT_LT(clock_type::now() - begun, 200ms);
+        EXPECT_LT(clock_type::now() - startedAt, 200ms);
     });
 }
 
-TEST(OrderRelay, ALongOrderIsAccompaniedByBeats)
+TEST(OrderRelay, HeartbeatsAreSentDuringALongDelivery)
 {
     withAgents(4, [](model_agents& agents) {
-        agents.gone = { 0, 1, 2, 3 };
-        int beats = 0;
+        agents.unreachable = { 0, 1, 2, 3 };
+        int heartbeats = 0;
         (void)agents.relay().deliver(wire::rank_query {}, targetsOf(4, 1), clock_type::now() + 300ms,
-            { .every = 5ms, .beat = [&beats] { ++beats; } });
-        EXPECT_GE(beats, 2);
+            { .interval = 5ms, .send = [&heartbeats] { ++heartbeats; } });
+        EXPECT_GE(heartbeats, 2);
     });
 }
 
--- a/coltsfootbend/group/rank_agent.cpp
+++ b/coltsfootbend/group/rank_agent.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A rank keeps the maps that its schedule may still need, and one being loaded.
+// Maximum number of maps that a rank keeps: those that its schedule may still need, and one that is being loaded.
 constexpr std::size_t maxLoadedMaps = 4;
 
 } // namespace
@@ -23,14 +23,14 @@
 
 rank_agent::rank_agent(const options& options)
     : m_options(options)
-    , m_granted(options.engineAt)
-    , m_limit(options.engineAt)
+    , m_granted(options.lastEngineStep)
+    , m_limit(options.lastEngineStep)
 {
 }
 
 std::optional<map_version> rank_agent::grant(step_number step)
 {
-    if (!m_joined || step > m_limit)
+    if (!m_hasJoined || step > m_limit)
         return std::nullopt;
     const auto map = m_schedule.mapAt(step);
     if (map.isNone() || !m_loaded.contains(map))
@@ -51,11 +51,11 @@
         return switch_refused { message.epoch, m_preparedFor };
     if (m_loaded.contains(message.map))
         return map_loaded { message.epoch, message.map };
-    m_wanted = message.map;
+    m_mapToLoad = message.map;
     return std::nullopt;
 }
 
-std::optional<rank_message> rank_agent::loaded(map_version map)
+std::optional<rank_message> rank_agent::onMapLoaded(map_version map)
 {
     m_loaded.insert(map);
     while (m_loaded.size() > maxLoadedMaps) {
@@ -68,22 +68,22 @@
             break;
         m_loaded.erase(unused);
     }
-    if (m_wanted != map)
+    if (m_mapToLoad != map)
         return std::nullopt;
-    m_wanted.reset();
-    wantNextMap();
+    m_mapToLoad.reset();
+    selectNextMap();
     return map_loaded { m_preparedFor, map };
 }
 
-// A fresh life may have to run steps under maps older than the one it was asked to prepare; those that its engine has
-// left behind are not among them.
-void rank_agent::wantNextMap()
+// A new incarnation may have to run steps under earlier maps than the one that it was ordered to prepare. Maps that
+// apply only to steps already granted are skipped.
+void rank_agent::selectNextMap()
 {
     const auto& segments = m_schedule.segments;
-    for (std::size_t i = 0; i < segments.size() && !m_wanted; ++i) {
+    for (std::size_t i = 0; i < segments.size() && !m_mapToLoad; ++i) {
         const bool isPast = i + 1 < segments.size() && segments[i + 1].from <= m_granted + 1;
         if (!isPast && !m_loaded.contains(segments[i].map))
-            m_wanted = segments[i].map;
+            m_mapToLoad = segments[i].map;
     }
 }
 
@@ -93,33 +93,35 @@
         return switch_refused { message.epoch, m_promised };
     if (message.epoch > m_promised) {
         m_promised = message.epoch;
-        // A limit that stands already is not moved: an earlier coordinator may have been told of it.
-        m_limit = std::min(m_limit, m_granted + (m_joined ? m_options.lead : 0));
+        // An existing limit is not raised, because it may have been reported to an earlier coordinator.
+        m_limit = std::min(m_limit, m_granted + (m_hasJoined ? m_options.promiseMargin : 0));
     }
-    return switch_promised { message.epoch, m_options.life, m_limit, m_schedule };
+    return switch_promised { message.epoch, m_options.ownIncarnation, m_limit, m_schedule };
 }
 
 std::optional<rank_message> rank_agent::on(const decide_switch& message)
 {
-    // Only the epoch promised last may decide, and only for this very life: a former life's promise is not ours.
+    // Only the last promised epoch may decide, and only for this incarnation, which is not bound by the promises of
+    // earlier incarnations.
     if (message.epoch != m_promised)
         return switch_refused { message.epoch, m_promised };
-    if (m_options.rank >= message.incarnations.size() || message.incarnations[m_options.rank] != m_options.life)
+    if (m_options.rank >= message.incarnations.size() || message.incarnations[m_options.rank] != m_options.ownIncarnation)
         return switch_refused { message.epoch, m_promised };
     m_schedule = message.schedule;
-    // What every engine has left behind is not needed any more; a restarted rank may still be a little behind this one.
+    // Drops segments that no engine needs any more. A restarted rank may be up to `maxGrantAhead` steps behind this
+    // one.
     auto& segments = m_schedule.segments;
     while (segments.size() > 1 && segments[1].from + maxGrantAhead <= m_granted)
         segments.erase(segments.begin());
-    wantNextMap();
-    m_joined = true;
+    selectNextMap();
+    m_hasJoined = true;
     m_limit = unlimited;
-    return switch_applied { message.epoch, m_options.life };
+    return switch_applied { message.epoch, m_options.ownIncarnation };
 }
 
 std::optional<rank_message> rank_agent::on(const release_promise& message)
 {
-    if (message.epoch == m_promised && m_joined)
+    if (message.epoch == m_promised && m_hasJoined)
         m_limit = unlimited;
     return std::nullopt;
 }
