--- a/scripts/account.py
+++ b/scripts/account.py
@@ -1,20 +1,21 @@
 #!/usr/bin/env python3
-"""Where requests are lost: reads the logs of gateways and rank agents and tells it second by second.
+"""Shows where requests are lost: reads the logs of gateways and rank agents and counts request events per second.
 
 usage: account.py [--from SECOND] [--to SECOND] [LOG...]      (standard input without LOG)
 
-Takes any lines that hold an event of the project ("E503 id=...") after a time of day; whatever stands before the time, such as
-a collector's prefix, is left out. Seconds count from the first line. A column counts requests in the second of the event:
+Reads all lines that contain an event ("E503 id=...") after a timestamp. Text before the timestamp, such as the prefix of a
+log collector, is ignored. Seconds count from the first line. Each column counts requests by the second of the event:
 
-  new, back   sent to a server for the first time: callers that had not been refused before, and returning ones
-  answered    ended with an answer, or with all events of a stream
+  new, back   sent to a server for the first time: new callers, and callers that return after a refusal
+  answered    completed with an answer, or with all events of a stream
   again       sent to another server
-  proven      attempts that the server proved not to have run; broke: other attempts that failed
-  down, stand, full, none   refused: group broken, group standing, no slot in time, no server took it; "back" in brackets
-  5xx         502 and 504: the caller is not told that it did not run
-  cut, left   streams cut off; callers that left
+  proven      attempts that the server proved not to have run; broke: other failed attempts
+  down, stand, full, none   refused: group broken, group stalled, no slot in time, no server accepted it; returning callers
+              in parentheses
+  5xx         answered with 502 or 504, which do not guarantee that the request has not run
+  cut, left   interrupted streams; requests that callers abandoned
 
-Below the table: changes of what gateways believe of groups, and of maps.
+The lines below the table show changes of the group states that gateways assume, and changes of maps.
 """
 import collections
 import datetime
--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Passes the tests, but for those that KNOWN-RED.txt names: a line there begins with a test's name, and says after bars how to
-# run it, what was seen, the cause, and the open issue. They are printed, so that nobody takes them for green.
+# Runs all tests except those listed in KNOWN-RED.txt. Each line of that file holds, separated by bars, the name of a test, the
+# command to run it, what was seen, the cause, and the open issue. The list is printed, so that these tests are not mistaken for
+# passing ones.
 set -eu
 cd "$(dirname "$0")/.."
 known_red=KNOWN-RED.txt
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the main job on embedded stand-ins: one daemon with everything in it, real requests over HTTP, and checks of what
-# came back. Exits with 0 only when everything was as it should be.
+# Demonstrates the main function with embedded stand-ins: starts one daemon with all roles, sends requests over HTTP, and checks
+# the answers. Exits with 0 only if all checks pass.
 set -u
 cd "$(dirname "$0")/.."
 bin=build/bin
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Real processes under faults: a load of keyed requests runs while entry and worker daemons are killed, paused, drained
-# and restarted and the platform is taken away. Fails when a request was doubled, mispaired or falsely called not run, or
-# when none was answered.
+# Tests real processes under faults: sends requests with idempotency keys while entry and worker daemons are killed, suspended,
+# drained and restarted, and while the platform is suspended. Fails if a request ran twice, received the answer to another
+# request, or was falsely reported as not run, or if no request was answered.
 set -u
 cd "$(dirname "$0")/.."
 dir=$(mktemp -d)
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks format and lint of every source file. Fails on the first kind that is not clean.
+# Checks the format of every source file, then runs the linter on it. Stops after the first of these checks that fails.
 set -eu
 cd "$(dirname "$0")/.."
 clang-format --dry-run --Werror $(git ls-files '*.h' '*.cpp')
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -1,8 +1,14 @@
 #!/usr/bin/env bash
-# Starts separate processes on loopback: the platform stand-in, three engine stand-ins, two entry daemons in two data
-# centres and three worker daemons. `scripts/processes.sh DIR start` writes settings and process ids to DIR and starts
-# all; `... DIR start NAME` starts one again; `... DIR kill NAME` ends one with SIGKILL, `... DIR term NAME` asks it to
-# leave; `... DIR stop` ends all.
+# Runs separate processes on loopback: the platform stand-in, three engine stand-ins, two entry daemons in two data centres and
+# three worker daemons.
+#
+#   scripts/processes.sh DIR start         writes settings and process ids to DIR and starts all processes
+#   scripts/processes.sh DIR start NAME    starts one process again
+#   scripts/processes.sh DIR kill NAME     terminates a process with SIGKILL
+#   scripts/processes.sh DIR term NAME     asks a process to drain and terminate, with SIGTERM
+#   scripts/processes.sh DIR pause NAME    suspends a process with SIGSTOP
+#   scripts/processes.sh DIR resume NAME   resumes a suspended process
+#   scripts/processes.sh DIR stop          terminates all processes with SIGKILL
 set -u
 cd "$(dirname "$0")/.."
 dir=$1
@@ -67,7 +73,7 @@
 }
 
 start_one() {
-  # A leaving process keeps its port until it is done.
+  # A draining process keeps its port until it terminates.
   if [ -f "$dir/$1.pid" ]; then
     for _ in $(seq 100); do
       kill -0 "$(cat "$dir/$1.pid")" 2>/dev/null || break
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,8 +1,12 @@
 #!/usr/bin/env bash
-# Fault soaks with real processes: `scripts/soak.sh FIRST LAST [SECONDS [AT_ONCE]]` plays the seeds FIRST to LAST, AT_ONCE at a
-# time, each with faults for SECONDS, with two groups of three engines whose members change. `scripts/soak.sh cases - SECONDS`
-# plays those that failed once (scripts/soak-cases.txt), in the world in which they did: one group of four.
-# Prints one line a seed, keeps the logs of those that failed, and fails if any did.
+# Runs fault soaks with real processes.
+#
+#   scripts/soak.sh FIRST LAST [SECONDS [AT_ONCE]]   runs the seeds FIRST to LAST, AT_ONCE at a time, each with faults for
+#                                                    SECONDS, with two groups of three engines whose members change
+#   scripts/soak.sh cases - SECONDS                  runs the seeds of scripts/soak-cases.txt with one group of four engines,
+#                                                    the environment in which they exposed a fault
+#
+# Prints one line per seed. Keeps the logs of failed seeds, and exits with 1 if any seed failed.
 set -u
 cd "$(dirname "$0")/.."
 seconds=${3:-20}
@@ -16,7 +20,7 @@
 fi
 dir=$(mktemp -d "${TMPDIR:-/tmp}/coltsfootbend-soak.XXXXXX")
 export dir seconds world
-# Copies, so that a build meanwhile harms nothing.
+# Runs copies, so that a build during the soak does not replace the binaries.
 cp build/bin/coltsfootbend build/bin/coltsfootbend_soak "$dir/" || exit 1
 play() {
   "$dir/coltsfootbend_soak" $world --seed "$1" --seconds "$seconds" --directory "$dir/$1" \
