--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -171,8 +171,7 @@
     std::vector<addressee> to;
     to.reserve(members.size());
     for (const auto& member : members)
-        to.push_back(
-            { .channel = member.channel,
+        to.push_back({ .channel = member.channel,
             .incarnation = member.rank < m_incarnations.size() ? m_incarnations[member.rank] : 0 });
     return to;
 }
--- a/coltsfootbend/group/rank_agent.cpp
+++ b/coltsfootbend/group/rank_agent.cpp
@@ -105,7 +105,8 @@
     // earlier incarnations.
     if (message.epoch != m_promised)
         return switch_refused { message.epoch, m_promised };
-    if (m_options.rank >= message.incarnations.size() || message.incarnations[m_options.rank] != m_options.ownIncarnation)
+    if (m_options.rank >= message.incarnations.size()
+        || message.incarnations[m_options.rank] != m_options.ownIncarnation)
         return switch_refused { message.epoch, m_promised };
     m_schedule = message.schedule;
     // Drops segments that no engine needs any more. A restarted rank may be up to `maxGrantAhead` steps behind this
