--- a/coltsfootbend/base/error.h
+++ b/coltsfootbend/base/error.h
@@ -1,8 +1,8 @@
 #pragma once
 
 // Errors as values. A function that can fail returns `result<T>`; its error has a kind that code may branch on, a
-// message that says what is wrong, and a remedy that says what the reader can do about it. Not for programming
-// mistakes, which are assertions.
+// message that describes the problem, and a remedy that suggests what the reader can do about it. Programming errors
+// are reported by assertions instead.
 //
 //     result<int> parsePort(std::string_view text);
 //     if (auto port = parsePort(text); !port)
@@ -15,18 +15,18 @@
 namespace coltsfootbend {
 
 enum class error_kind {
-    BadInput, // What came from outside cannot be understood or is not allowed.
-    NotFound, // What was named does not exist.
-    Stale, // Written against a number that is no longer the current one.
+    BadInput, // External input is malformed or not allowed.
+    NotFound, // The named resource does not exist.
+    Stale, // The change is based on a version that is no longer current.
     Denied, // The presented key or token does not allow this.
-    Unavailable, // The other side could not be reached; nothing was sent.
-    Lost, // Something was sent and the answer never came: it may have taken effect.
+    Unavailable, // The peer could not be reached; nothing was sent.
+    Lost, // The request was sent but no complete response arrived, so it may have taken effect.
     TimedOut, // The deadline passed.
     Overloaded, // A limit was reached; try again later.
-    Internal, // A promise inside the system was broken.
+    Internal, // An internal invariant does not hold.
 };
 
-// Returns the name of `kind`, as used in bodies and logs.
+// Returns the name of `kind`, as used in response bodies and logs.
 constexpr const char* toString(error_kind kind)
 {
     switch (kind) {
@@ -52,14 +52,14 @@
     return "internal";
 }
 
-// One error. `remedy` is a full sentence addressed to the reader.
+// Describes one failure. `remedy` is a full sentence addressed to the reader.
 struct error {
     error_kind kind = error_kind::Internal;
     std::string message;
     std::string remedy;
 };
 
-// Returns "kind: message. Remedy" for logs and terminals.
+// Formats the error as "kind: message. Remedy" for logs and terminals.
 inline std::string toString(const error& value)
 {
     return std::string(toString(value.kind)) + ": " + value.message + (value.remedy.empty() ? "" : ". " + value.remedy);
--- a/coltsfootbend/base/event_limiter.h
+++ b/coltsfootbend/base/event_limiter.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Bounds how many lines of one kind are logged, and counts what was left out, so that a flood of one event neither
-// fills the log nor hides the others. Deterministic.
+// Limits the rate of log lines with one token bucket per event kind, and counts the dropped lines, so that a flood of
+// one event neither fills the log nor displaces other events. Deterministic: the caller passes the time.
 //
 //     event_limiter limiter({ .perSecond = 100, .burst = 200 });
 //     if (const auto granted = limiter.take(number, now)) log(line, granted->droppedBefore);
@@ -15,14 +15,15 @@
 
 namespace coltsfootbend {
 
+// Holds the token buckets of all event kinds.
 class event_limiter {
 public:
     struct options {
-        double perSecond = 100;
-        double burst = 200;
+        double perSecond = 100; // Lines per second at which each bucket refills.
+        double burst = 200; // Capacity of each bucket, in lines.
     };
     struct grant {
-        std::uint64_t droppedBefore = 0; // Lines of this kind since the last one that was written.
+        std::uint64_t droppedBefore = 0; // Lines of this kind dropped since the last one that was granted.
     };
 
     explicit event_limiter(const options& options)
@@ -30,7 +31,7 @@
     {
     }
 
-    // Returns none when this line is to be left out. O(log kinds).
+    // Takes one token of `kind`. Returns none when the line must be dropped. O(log kinds).
     std::optional<grant> take(int kind, time_point now)
     {
         auto [found, isNew] = m_kinds.try_emplace(kind, kind_state { m_options.burst, now, 0 });
--- a/coltsfootbend/base/id.h
+++ b/coltsfootbend/base/id.h
@@ -1,7 +1,7 @@
 #pragma once
 
 // Strong types for identifiers. Use one for every name or number that identifies something, so that a customer cannot
-// be passed where a VM is wanted. Not for quantities: see `base/time.h` and plain integers with a unit in the name.
+// be passed where a VM is expected. Not for quantities: see `base/time.h` and plain integers with a unit in the name.
 //
 //     vm_id worker { "vm-17" };
 //     customer_id customer { "panopano" };
@@ -15,7 +15,7 @@
 
 namespace coltsfootbend {
 
-// An identifier kept as text. Two are equal when their text is. All operations cost O(length).
+// An identifier stored as text. Two identifiers are equal when their texts are equal. All operations are O(length).
 template <typename Tag> class text_id {
 public:
     text_id() = default;
@@ -32,7 +32,7 @@
     std::string m_text;
 };
 
-// An identifier kept as a 64-bit number. Zero means "none".
+// An identifier stored as a 64-bit number. Zero means "none".
 template <typename Tag> class number_id {
 public:
     constexpr number_id() = default;
@@ -49,25 +49,25 @@
     std::uint64_t m_number = 0;
 };
 
-// A VM of the system or of a backend server, by its configured name.
+// Identifies a VM of the system or of a backend server by its configured name.
 using vm_id = text_id<struct vm_tag>;
-// A data centre: VMs in one can be cut off from those in another.
+// Identifies a data centre. A network partition can separate the VMs of two data centres.
 using data_centre_id = text_id<struct data_centre_tag>;
-// A customer: the unit of fair shares and of authentication.
+// Identifies a customer, the unit of fair sharing and of authentication.
 using customer_id = text_id<struct customer_tag>;
-// A deployment: the backend servers that answer one kind of request.
+// Identifies a deployment: the backend servers that answer one kind of request.
 using deployment_id = text_id<struct deployment_tag>;
-// A group of ranks that advance in lock-step.
+// Identifies a group of ranks that advance in lock-step.
 using group_id = text_id<struct group_tag>;
-// The caller's own name for a request (`Idempotency-Key`), unique for one customer.
+// The caller's identifier of a request (`Idempotency-Key`), unique per customer.
 using request_key = text_id<struct request_key_tag>;
-// A patch to the configuration, named by whoever wrote it.
+// Identifies a configuration patch. The author of the patch chooses it.
 using patch_id = text_id<struct patch_tag>;
 
-// One life of a process. A restarted process has another, so what the former life promised is not mistaken for the
-// new life's. Only equality carries meaning.
+// Identifies one incarnation of a process. A restarted process has a new one, so that commitments of the previous
+// incarnation are not attributed to the current one. Only equality is meaningful.
 using incarnation = number_id<struct incarnation_tag>;
-// The number of a configuration; rises by one with each accepted patch.
+// The version of a configuration; increases by one with each accepted patch.
 using config_version = number_id<struct config_version_tag>;
 
 } // namespace coltsfootbend
--- a/coltsfootbend/base/json_input.h
+++ b/coltsfootbend/base/json_input.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Reads JSON that comes from outside. Nesting is limited, because the library writes and frees values recursively and a
-// fiber's stack is small; a body of brackets alone would otherwise end the process.
+// Parses JSON from external sources. Nesting is limited, because the library serialises and frees values recursively
+// and a fiber's stack is small: a body of nested brackets would otherwise overflow it and crash the process.
 //
 //     const auto body = parseJsonInput(request.body);
 //     if (!body) return tl::unexpected(body.error());
@@ -13,7 +13,7 @@
 
 namespace coltsfootbend {
 
-// Fails with `BadInput` when `text` is no JSON or is nested more than 64 deep. O(length).
+// Fails with `BadInput` when `text` is not valid JSON or is nested more than 64 levels deep. O(length).
 inline result<nlohmann::json> parseJsonInput(std::string_view text)
 {
     constexpr int maxDepth = 64;
--- a/coltsfootbend/base/log_event.cpp
+++ b/coltsfootbend/base/log_event.cpp
@@ -14,12 +14,15 @@
 
 namespace {
 
-// An entry at its planned peak (20 requests a second, three lines each) stays below; a flood does not.
+// Above the 60 lines per second of an entry at its planned peak (20 requests per second, three lines each); a flood of
+// one event is dropped.
 constexpr event_limiter::options limits { .perSecond = 100, .burst = 300 };
-// A line up to this length is written whole or not at all, if the pipe takes anything.
+// Maximum length of a message; longer ones are truncated. A write of at most PIPE_BUF bytes (4096) is atomic, so a line
+// is written to a pipe as a whole or not at all.
 constexpr std::size_t longestLine = 2000;
 
-// Writes lines to standard output without ever waiting for whoever reads it.
+// Writes log lines to standard output without blocking. Lines that the reader leaves no space for are dropped and
+// counted.
 class output_sink final : public google::LogSink {
 public:
     void send(google::LogSeverity severity, const char*, const char*, int, const google::LogMessageTime& time,
@@ -40,7 +43,10 @@
     }
 
 private:
-    std::string unwrittenNote() const { return "log: " + std::to_string(m_unwritten) + " lines found no room\n"; }
+    std::string unwrittenNote() const
+    {
+        return "log: " + std::to_string(m_unwritten) + " lines dropped, output full\n";
+    }
 
     std::uint64_t m_unwritten = 0;
 };
--- a/coltsfootbend/base/log_event.h
+++ b/coltsfootbend/base/log_event.h
@@ -1,8 +1,8 @@
 #pragma once
 
 // Numbered log events. Each line that the daemons log begins with its event number, so that operators can search and
-// alert without matching prose; docs/operators/EVENTS.md says what each means and what to do. No body, prompt or key is
-// ever logged.
+// alert without matching prose; docs/operators/EVENTS.md documents each event and the response to it. Request bodies,
+// prompts and keys are never logged.
 //
 //     logEvent(log_event::WorkerSuspected, "worker=w3");
 
@@ -10,6 +10,7 @@
 
 namespace coltsfootbend {
 
+// The events that daemons log. Operators match the numbers, so a number is never reused or changed.
 enum class log_event {
     ProcessStarted = 100,
     ProcessLeaving = 101,
@@ -57,17 +58,17 @@
     ReadinessChanged = 800,
 };
 
-// Logs one line, "E<number> <details>", at the level that the event has. `details` is a list of name=value. Lines of
-// one event beyond a bound are left out and counted in the next one as dropped_before.
+// Logs one line, "E<number> <details>", at the severity of the event. `details` is a list of name=value. Lines of one
+// event beyond the rate limit are dropped; the next line that is written reports their number as dropped_before.
 void logEvent(log_event, std::string_view details);
 
-// Writes `line` to `file` if that does not block. Returns whether it was written.
+// Writes `line` to the file descriptor `file` if that does not block. Returns whether the whole line was written.
 bool writeLine(int file, std::string_view line);
 
 // Starts the log: to files in `directory`, or to standard output when it is empty.
 void startLog(const char* program, std::string_view directory);
 
-// Writes out what is buffered. Call before the process ends.
+// Flushes buffered lines. Call before the process ends.
 void stopLog();
 
 } // namespace coltsfootbend
--- a/coltsfootbend/base/log_event_test.cpp
+++ b/coltsfootbend/base/log_event_test.cpp
@@ -25,8 +25,8 @@
         ++written;
     EXPECT_GT(written, 0);
     EXPECT_FALSE(writeLine(ends[1], line));
-    std::string room(static_cast<std::size_t>(written) * line.size(), '\0');
-    EXPECT_GT(::read(ends[0], room.data(), room.size()), 0);
+    std::string drained(static_cast<std::size_t>(written) * line.size(), '\0');
+    EXPECT_GT(::read(ends[0], drained.data(), drained.size()), 0);
     EXPECT_TRUE(writeLine(ends[1], line));
     ::close(ends[0]);
     ::close(ends[1]);
@@ -46,7 +46,7 @@
     EXPECT_EQ(next->droppedBefore, 95U);
 }
 
-// Every event of the code stands in the catalogue for operators.
+// Every event in the code is documented in the operators' catalogue.
 TEST(LogEvent, TheCatalogueNamesEveryEvent)
 {
     const auto read = [](const std::string& path) {
--- a/coltsfootbend/base/text.h
+++ b/coltsfootbend/base/text.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Numbers as text, for logs and headers.
+// Formats numbers as text, for logs and headers.
 //
 //     fixedText(1.5, 2) == "1.50"
 
@@ -8,7 +8,7 @@
 
 namespace coltsfootbend {
 
-// Returns `value` with `digits` places after the point.
+// Returns `value` in decimal notation with `digits` digits after the decimal point.
 std::string fixedText(double value, int digits);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/base/time.h
+++ b/coltsfootbend/base/time.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The types of time. State holds deadlines (`time_point`); durations appear only as settings and as arguments that are
-// turned into a deadline at once. Decision code never reads a clock: whoever calls it passes the time.
+// Time types. State stores deadlines (`time_point`); durations appear only in settings and as arguments that are
+// converted to a deadline immediately. Decision code never reads a clock: its caller passes the current time.
 //
 //     time_point deadline = now + std::chrono::seconds(2);
 //     if (now >= deadline)
@@ -22,10 +22,10 @@
     return std::chrono::ceil<std::chrono::milliseconds>(std::max(deadline - now, duration::zero()));
 }
 
-// Returns `value` in milliseconds with fraction.
+// Returns `value` in milliseconds, including the fraction.
 inline double toMilliseconds(duration value) { return std::chrono::duration<double, std::milli>(value).count(); }
 
-// Returns `milliseconds` as a duration.
+// Converts `milliseconds` to a duration.
 inline duration fromMilliseconds(double milliseconds)
 {
     return std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(milliseconds));
--- a/coltsfootbend/kernel/kernel.h
+++ b/coltsfootbend/kernel/kernel.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A micro-kernel: it owns the services of one process, starts them in the order in which they were added, lets them
-// find each other by name, and takes them down in reverse. Everything else is a service. Not for objects that only one
+// Owns the services of one process, starts them in the order in which they were added, lets them find each other by
+// name, and stops them in reverse order. All other functions of a process are services. Not for objects that only one
 // service uses: those are its members.
 //
 //     kernel kernel;
@@ -22,27 +22,29 @@
 
 class kernel;
 
+// A component of a process that the kernel starts and stops.
 class service {
 public:
     virtual ~service() = default;
-    // Unique in its process.
+    // Returns the name, which is unique in the process.
     virtual std::string_view name() const = 0;
-    // Called once; services added earlier have been started.
+    // Starts the service. Called once, after all services that were added earlier have been started.
     virtual result<void> start(kernel&) = 0;
-    // Takes no new work, and returns when what is in flight is done or at `deadline`.
+    // Accepts no new work, and returns when all work in flight is done or at `deadline`.
     virtual void leave(time_point /*deadline*/) { }
     virtual void stop() { }
 };
 
+// The registry and lifecycle of the services of one process.
 class kernel {
 public:
-    // Precondition: `start` was not called, and no other service has the same name.
+    // Adds a service. Precondition: `start` was not called, and no other service has the same name.
     void add(std::unique_ptr<service>);
 
     // Returns the service called `name`, or null when there is none or it is of another type. O(services).
     template <typename T> T* find(std::string_view name) const { return dynamic_cast<T*>(findService(name)); }
 
-    // As `find`, but a missing service is an error that names it.
+    // Returns the service called `name` like `find`, or fails with `NotFound` and an error that names it.
     template <typename T> result<T*> require(std::string_view name) const
     {
         if (auto* found = find<T>(name))
@@ -51,9 +53,12 @@
             "Add it to 'services' in the settings");
     }
 
+    // Starts all services in the order in which they were added. Returns the error of the first one that fails; later
+    // ones are not started.
     result<void> start();
-    // Asks every service to leave, the last started first.
+    // Calls `leave` on every started service, in reverse order of start.
     void leave(time_point deadline);
+    // Stops every started service, in reverse order of start.
     void stop();
 
 private:
--- a/coltsfootbend/metrics/metrics.h
+++ b/coltsfootbend/metrics/metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Counters, gauges and summaries of one process, in the text format that scrapers read. Names and labels only: never a
-// body, prompt or key. Found by services through the kernel as "metrics".
+// Counters, gauges and summaries of one process, in the Prometheus text exposition format. Names and labels never
+// contain request bodies, prompts or keys. Services find it in the kernel under the name "metrics".
 //
 //     metrics.count("requests_total", { { "outcome", "answer" } });
 //     metrics.observe("request_seconds", seconds);
@@ -19,11 +19,13 @@
 
 namespace coltsfootbend {
 
+// A dimension of a counter and its value.
 struct metric_label {
     std::string name;
     std::string value;
 };
 
+// Collects the metrics of one process.
 class metrics_service final : public service {
 public:
     metrics_service();
@@ -35,13 +37,13 @@
     // Adds `by` to a counter. O(log metrics).
     void count(std::string_view name, const std::vector<metric_label>& labels = {}, std::uint64_t by = 1);
 
-    // Takes one observation into a summary with the quantiles 0.5, 0.95 and 0.99, the sum and the count.
+    // Adds one observation to a summary with the quantiles 0.5, 0.95 and 0.99, the sum and the count.
     void observe(std::string_view name, double value);
 
-    // Registers a value that is read when asked for.
+    // Registers a gauge. `read` is called each time `text` is produced.
     void gauge(std::string name, std::function<double()> read);
 
-    // Returns everything in the text exposition format, version 0.0.4.
+    // Returns all metrics in the text exposition format, version 0.0.4.
     std::string text() const;
 
 private:
