--- a/coltsfootbend/net/byte_stream.cpp
+++ b/coltsfootbend/net/byte_stream.cpp
@@ -20,8 +20,8 @@
 
 constexpr std::chrono::seconds tlsHandshakeLimit { 5 };
 
-// A peer that is cut off sends nothing, not even a reset. These probes end its connections within three seconds, which
-// is less than callers and backend servers wait for each other.
+// A peer behind a network partition sends nothing, not even a reset. These probes close its connections within three
+// seconds, which is shorter than the time that callers and backend servers wait for each other.
 constexpr int keepAliveIdleSeconds = 1;
 constexpr int keepAliveIntervalSeconds = 1;
 constexpr int keepAliveProbes = 2;
@@ -30,7 +30,7 @@
 void setLivenessProbes(tcp::socket& socket)
 {
     const auto set = [&](int level, int name, int value) {
-        // Best effort: without the probes a dead connection is noticed later, by its deadline.
+        // Best effort: without the probes, a broken connection is detected later, at its deadline.
         (void)::setsockopt(socket.native_handle(), level, name, &value, sizeof value);
     };
     set(SOL_SOCKET, SO_KEEPALIVE, 1);
@@ -40,7 +40,7 @@
     set(IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledgedLimitMs);
 }
 
-// What plain TCP and TLS share: the socket below. `Stream` is the layer that bytes go through.
+// The common part of plain TCP and TLS streams. `Stream` is the layer that bytes are read from and written to.
 template <typename Stream> class stream_base : public byte_stream {
 public:
     template <typename... Args>
@@ -252,13 +252,13 @@
     while (m_acceptor.is_open()) {
         tcp::socket socket(m_runtime.io());
         if (const auto done = m_acceptor.async_accept(socket, useFiber); !done) {
-            // Out of file numbers or the like: wait, for accepting again at once would only spin.
+            // The process may be out of file descriptors: back off, because an immediate retry would spin.
             if (m_acceptor.is_open())
                 m_runtime.sleepFor(std::chrono::milliseconds(20));
             continue;
         }
         if (m_connections >= m_options.maxConnections)
-            continue; // The socket closes; the balancer tries another VM.
+            continue; // The socket closes, and the client's load balancer tries another VM.
         serve(self, std::move(socket));
     }
 }
--- a/coltsfootbend/net/byte_stream.h
+++ b/coltsfootbend/net/byte_stream.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// A connection as fibers see it: reads and writes block the calling fiber, and a deadline ends them. Plain TCP and TLS
-// look the same. It also satisfies Beast's and Asio's synchronous stream requirements, so their parsers run on it
-// unchanged. Not for files.
+// A connection for use by fibers: reads and writes block the calling fiber, and a deadline ends them. Plain TCP and TLS
+// have the same interface. It also satisfies Beast's and Asio's synchronous stream requirements, so their parsers work
+// on it unchanged. Not for files.
 //
 //     auto stream = connectTcp(runtime, { "127.0.0.1", 8080 }, deadline);
 //     if (stream)
@@ -25,7 +25,7 @@
 
 namespace coltsfootbend {
 
-// An address as settings give it: an IP number and a port.
+// An IP address and a port, as written in settings.
 struct endpoint {
     std::string ip;
     std::uint16_t port = 0;
@@ -33,36 +33,37 @@
     auto operator<=>(const endpoint&) const = default;
 };
 
-// Reads "127.0.0.1:8080" or "[::1]:8080". Fails with `BadInput` for anything else, host names among it.
+// Parses "127.0.0.1:8080" or "[::1]:8080". Fails with `BadInput` for anything else, including host names.
 result<endpoint> parseEndpoint(std::string_view text);
 std::string toString(const endpoint&);
 
 using tls_context = std::shared_ptr<boost::asio::ssl::context>;
 
+// A bidirectional connection over plain TCP or TLS.
 class byte_stream {
 public:
     virtual ~byte_stream() = default;
 
-    // Reads at least one byte. Fails with end-of-file when the other side has closed.
+    // Reads at least one byte. Fails with end-of-file when the peer has closed the connection.
     virtual io_result<std::size_t> readSome(boost::asio::mutable_buffer) = 0;
     virtual io_result<std::size_t> writeSome(boost::asio::const_buffer) = 0;
 
-    // Operations that are under way at `deadline` fail.
+    // Sets the time at which operations in progress fail.
     virtual void setDeadline(time_point deadline) = 0;
 
-    // Waits until there is something to read or the other side is gone, and returns whether it is gone.
+    // Blocks until bytes can be read or the peer has disconnected. Returns whether it has disconnected.
     virtual bool waitForClose() = 0;
-    // Ends a `waitForClose` that is under way.
+    // Ends a `waitForClose` in progress.
     virtual void cancelWait() = 0;
     virtual void close() = 0;
-    // True when the other side has neither closed nor sent anything. Does not block.
+    // Returns whether the peer has neither closed the connection nor sent any unread bytes. Does not block.
     virtual bool isOpenAndQuiet() = 0;
-    // The subject's common name of the other side's verified certificate; empty without one.
+    // Returns the common name in the subject of the peer's verified certificate; empty without a certificate.
     virtual std::string peerName() const { return {}; }
 
     io_result<void> writeAll(std::string_view bytes);
 
-    // The names below are those that Beast and Asio look for.
+    // Beast and Asio require the names below.
     template <typename Buffers> std::size_t read_some(const Buffers& buffers, boost::system::error_code& code) // NOLINT
     {
         return take(readSome(firstBuffer(buffers)), code);
@@ -70,7 +71,7 @@
     template <typename Buffers>
     std::size_t write_some(const Buffers& buffers, boost::system::error_code& code) // NOLINT
     {
-        // Small pieces, such as a head and a short body, leave together: fewer calls, fewer packets.
+        // Small buffers, such as a head and a short body, are sent together to save system calls and packets.
         std::array<char, gatherBytes> gathered; // NOLINT(cppcoreguidelines-pro-type-member-init)
         const auto total = boost::asio::buffer_size(buffers);
         if (total > gatherBytes)
@@ -92,7 +93,7 @@
 private:
     static constexpr std::size_t gatherBytes = std::size_t { 4 } * 1024;
 
-    // Reading or writing less than all buffers is allowed; the callers loop.
+    // Returns the first buffer that is not empty. Partial reads and writes are allowed; the callers loop.
     template <typename Buffers> static auto firstBuffer(const Buffers& buffers)
     {
         auto position = boost::asio::buffer_sequence_begin(buffers);
@@ -113,26 +114,26 @@
 // Connects by `deadline`, with TLS when `tls` is given. Fails with `Unavailable`.
 result<byte_stream_ptr> connectTcp(fiber_runtime&, const endpoint&, time_point deadline, const tls_context& tls = {});
 
-// Listens on one address and hands each connection to `handler` on a fiber of its own.
+// Listens on one address and passes each connection to `handler` on a separate fiber.
 class listener {
 public:
     using handler = std::function<void(byte_stream_ptr)>;
 
     struct options {
         endpoint address;
-        // Asked for at each connection, so that a reloaded certificate is used from then on; none for plain TCP.
+        // Called for each connection, so that new connections use a reloaded certificate; none for plain TCP.
         std::function<tls_context()> tls;
         std::size_t maxConnections = 4096;
     };
 
-    // Fails with `Unavailable` when the address cannot be had.
+    // Starts to listen. Fails with `Unavailable` when the address cannot be bound.
     static result<std::shared_ptr<listener>> open(fiber_runtime&, options, handler);
 
     ~listener();
     listener(const listener&) = delete;
     listener& operator=(const listener&) = delete;
 
-    // Takes no new connection from now on; those that are open go on.
+    // Stops accepting connections; open connections are not affected.
     void close();
     std::uint16_t port() const;
     std::size_t connections() const { return m_connections; }
--- a/coltsfootbend/net/cancellation.h
+++ b/coltsfootbend/net/cancellation.h
@@ -1,8 +1,7 @@
 #pragma once
 
-// Lets one fiber end an operation that another one waits for. The operation says how it is ended; once cancelled, it
-// ends at once. One operation at a time. Not for threads, and not for operations that end by themselves soon: those
-// have deadlines.
+// Lets one fiber cancel an operation that another fiber waits for. The operation registers a callback that ends it.
+// Supports one operation at a time. Not thread-safe, and not needed for short operations: those have deadlines.
 //
 //     cancellation poll;
 //     runtime.spawn([&] { answer = client.send(address, request, deadline, &poll); });
@@ -13,9 +12,11 @@
 
 namespace coltsfootbend {
 
+// Connects the fiber that cancels an operation with the operation.
 class cancellation {
 public:
-    // Ends the operation, which then fails as it says. Without an operation, the next one fails at once.
+    // Ends the attached operation, which then fails with its own error. An operation that is attached later fails
+    // immediately.
     void cancel()
     {
         m_cancelled = true;
@@ -25,7 +26,7 @@
 
     bool isCancelled() const { return m_cancelled; }
 
-    // For the operation: `end` makes it fail. Called at once if it is cancelled already.
+    // Registers the callback that makes the operation fail. Calls it immediately if `cancel` was already called.
     void attach(std::function<void()> end)
     {
         m_end = std::move(end);
--- a/coltsfootbend/net/datagram.cpp
+++ b/coltsfootbend/net/datagram.cpp
@@ -49,7 +49,8 @@
             return datagram { { sender.address().to_string(), sender.port() }, std::string(m_buffer.data(), *got) };
         if (got.error() == asio::error::operation_aborted)
             break;
-        // Somebody is gone: the system says so at the next operation; there is nothing to read.
+        // The system may report the error of an earlier datagram here, such as an unreachable receiver. There is
+        // nothing to read.
     }
     return std::nullopt;
 }
--- a/coltsfootbend/net/datagram.h
+++ b/coltsfootbend/net/datagram.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Datagrams between the system's own processes: for news that the next one replaces, so that a lost one does not
-// matter. Not for anything that must arrive.
+// UDP datagrams between the system's own processes, for updates that each supersede the previous one, so that a loss
+// is harmless. Not for messages that must arrive.
 //
 //     auto socket = datagram_socket::open(runtime, { "127.0.0.1", 7340 });
 //     (*socket)->send(peer, bytes);
@@ -24,15 +24,16 @@
     std::string bytes;
 };
 
+// A UDP socket bound to one address.
 class datagram_socket {
 public:
-    // Fails with `Unavailable` when the address cannot be had.
+    // Opens a socket. Fails with `Unavailable` when the address cannot be bound.
     static result<std::unique_ptr<datagram_socket>> open(fiber_runtime&, const endpoint&);
 
-    // Sends at once, or not at all when the system's buffer is full; news are sent again anyway.
+    // Sends without blocking. Drops the datagram when the system's buffer is full; a later update supersedes it.
     void send(const endpoint& receiver, std::string_view bytes);
 
-    // Blocks the calling fiber until the next one; none once the socket is closed.
+    // Blocks the calling fiber until the next datagram arrives. Returns none once the socket is closed.
     std::optional<datagram> receive();
 
     void close();
--- a/coltsfootbend/net/fiber_runtime.cpp
+++ b/coltsfootbend/net/fiber_runtime.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-// Fibers hold no large objects on their stacks; 128 KiB leaves room for TLS and Beast.
+// Sufficient for TLS and Beast. Fibers must not place large objects on their stacks.
 constexpr std::size_t stackBytes = std::size_t { 128 } * 1024;
 
 } // namespace
 
-// Round robin that can say whether any fiber but the dispatcher is ready, so that the main loop may block on I/O.
+// Round-robin scheduler that counts the ready fibers other than the dispatcher. The main loop blocks on I/O when there
+// are none.
 class fiber_runtime::scheduler : public boost::fibers::algo::round_robin {
 public:
     explicit scheduler(fiber_runtime& runtime) { runtime.m_scheduler = this; }
@@ -72,7 +73,7 @@
 {
     while (!m_stopped) {
         m_io.poll();
-        // Every fiber that is ready now runs before this one goes on.
+        // All fibers that are ready run before this one resumes.
         boost::this_fiber::yield();
         if (m_scheduler->ready() == 0 && !m_stopped)
             m_io.run_one();
--- a/coltsfootbend/net/fiber_runtime.h
+++ b/coltsfootbend/net/fiber_runtime.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Runs fibers and Asio's I/O together on one thread. Every daemon has one; all its services share it, so none of them
-// needs locks. Use `spawn` for work that may block its own fiber. Not for work that blocks the thread: nothing else
-// runs meanwhile.
+// Runs fibers and Asio's I/O together on one thread. Every daemon has one runtime that all its services share, so they
+// need no locks. Use `spawn` for work that may block its own fiber. Not for work that blocks the thread, because that
+// stalls all other fibers.
 //
 //     fiber_runtime runtime;
 //     runtime.spawn([&] { runtime.sleepUntil(deadline); runtime.stop(); });
@@ -19,9 +19,10 @@
 
 namespace coltsfootbend {
 
-// What an I/O operation returns: its value or the operating system's error.
+// The result of an I/O operation: its value or the operating system's error.
 template <typename T> using io_result = tl::expected<T, boost::system::error_code>;
 
+// The fiber scheduler and the I/O context of one thread.
 class fiber_runtime {
 public:
     fiber_runtime();
@@ -31,20 +32,20 @@
 
     boost::asio::io_context& io() { return m_io; }
 
-    // Starts a fiber that runs `work` soon. `work` must not throw.
+    // Schedules a new fiber that runs `work`. `work` must not throw.
     void spawn(std::function<void()> work);
 
-    // Blocks the calling fiber.
+    // Blocks the calling fiber, but not the thread.
     void sleepUntil(time_point);
     void sleepFor(duration length) { sleepUntil(clock_type::now() + length); }
 
-    // Runs until `stop`. Call it from the thread that made the runtime.
+    // Runs until `stop` is called. Must be called on the thread that created the runtime.
     void run();
     void stop();
-    // Lets `run` be called again after `stop`.
+    // Permits another call of `run` after `stop`.
     void restart() { m_stopped = false; }
 
-    // Number of fibers that `spawn` started and that have not ended.
+    // Returns the number of spawned fibers that have not ended.
     std::size_t fibers() const { return m_fibers; }
 
 private:
--- a/coltsfootbend/net/fiber_signal.h
+++ b/coltsfootbend/net/fiber_signal.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Lets one fiber wait until another tells it something or a deadline passes. `mailbox` adds a queue of values. One
-// waiter at a time. Not for threads.
+// Lets one fiber wait for a notification from another fiber or for a deadline. `mailbox` adds a queue of values. One
+// waiter at a time. Not thread-safe.
 //
 //     mailbox<flow_event> events(runtime);
 //     events.push(event);
@@ -17,6 +17,7 @@
 
 namespace coltsfootbend {
 
+// A notification that one fiber waits for. Notifications are not counted.
 class fiber_signal {
 public:
     explicit fiber_signal(fiber_runtime& runtime)
@@ -24,7 +25,7 @@
     {
     }
 
-    // Wakes the waiter, or lets the next wait return at once.
+    // Wakes the waiter. Without a waiter, the next wait returns immediately.
     void notify()
     {
         m_notified = true;
@@ -46,6 +47,7 @@
     bool m_notified = false;
 };
 
+// An unbounded queue of values for one receiving fiber.
 template <typename T> class mailbox {
 public:
     explicit mailbox(fiber_runtime& runtime)
--- a/coltsfootbend/net/h2.cpp
+++ b/coltsfootbend/net/h2.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-// What nghttp2 calls. Each has the connection as its user data.
+// The callbacks of the nghttp2 session. The user data of each is the connection.
 struct h2_connection::callbacks {
     static h2_connection& self(void* user) { return *static_cast<h2_connection*>(user); }
 
@@ -141,7 +141,7 @@
     nghttp2_session_callbacks_set_on_stream_close_callback(table, callbacks::onClose);
     nghttp2_option* options = nullptr;
     nghttp2_option_new(&options);
-    // The window opens again only when a fiber has taken the bytes: that is what bounds memory.
+    // The receive window is extended only when a fiber has consumed the bytes, which bounds the memory in use.
     nghttp2_option_set_no_auto_window_update(options, 1);
     nghttp2_option_set_peer_max_concurrent_streams(options, maxConcurrentStreams);
     nghttp2_session* session = nullptr;
--- a/coltsfootbend/net/h2.h
+++ b/coltsfootbend/net/h2.h
@@ -1,8 +1,8 @@
 #pragma once
 
 // HTTP/2 streams between the system's own processes, over nghttp2. One connection carries many streams; each stream
-// carries messages as bytes in both directions, with flow control a stream, so that one slow reader holds up nobody
-// else. Not for callers and backend servers, who speak HTTP/1.1.
+// carries bytes in both directions and has its own flow control, so that a slow reader does not delay other streams.
+// Not for callers and backend servers, which use HTTP/1.1.
 //
 //     auto connection = h2_connection::connect(runtime, address, {}, deadline);
 //     auto stream = (*connection)->open("/messages");
@@ -26,7 +26,7 @@
 
 class h2_connection;
 
-// One stream. Ends when both sides have ended it, when either resets it, or with its connection.
+// A bidirectional stream. It ends when both peers have ended it, when either peer resets it, or with its connection.
 class h2_stream {
 public:
     h2_stream(fiber_runtime& runtime, std::weak_ptr<h2_connection> connection, std::int32_t id)
@@ -36,15 +36,15 @@
     {
     }
 
-    // Queues `bytes`, and blocks while too much is queued. Fails with `Lost` once the stream is broken. `last` ends
-    // this side.
+    // Queues `bytes`, and blocks the calling fiber while the send queue is full. `last` ends the sending direction.
+    // Fails with `Lost` once the stream is broken.
     result<void> send(std::string_view bytes, bool last);
 
-    // Returns the next bytes, or none when the other side has ended. Fails with `Lost` when the stream broke and with
-    // `TimedOut` at `deadline`.
+    // Returns the next bytes, or none when the peer has ended its direction. Fails with `Lost` when the stream is
+    // broken and with `TimedOut` at `deadline`.
     result<std::optional<std::string>> receive(time_point deadline);
 
-    // Gives the stream up.
+    // Resets the stream in both directions.
     void reset();
 
 private:
@@ -59,17 +59,18 @@
     bool m_broken = false;
     boost::fibers::mutex m_mutex;
     boost::fibers::condition_variable m_changed;
-    fiber_signal m_news; // Something came in, or will not come any more.
+    fiber_signal m_news; // Notified when bytes arrive, or when no more can arrive.
 };
 
 using h2_stream_ptr = std::shared_ptr<h2_stream>;
 
+// An HTTP/2 connection of either role, with its streams.
 class h2_connection : public std::enable_shared_from_this<h2_connection> {
 public:
-    // Called on a fiber of its own for each stream that the other side opens.
+    // Called on a separate fiber for each stream that the peer opens.
     using stream_handler = std::function<void(const std::string& path, h2_stream_ptr)>;
 
-    // Fails with `Unavailable`; then nothing was sent.
+    // Connects to a server. Fails with `Unavailable`, in which case nothing was sent.
     static result<std::shared_ptr<h2_connection>> connect(
         fiber_runtime&, const endpoint&, const tls_context&, time_point deadline);
 
@@ -80,13 +81,13 @@
     h2_connection(const h2_connection&) = delete;
     h2_connection& operator=(const h2_connection&) = delete;
 
-    // Opens a stream. Fails with `Unavailable` when the connection is closing; then nothing was sent.
+    // Opens a stream. Fails with `Unavailable` when the connection is closing, in which case nothing was sent.
     result<h2_stream_ptr> open(const std::string& path);
 
     bool isOpen() const { return !m_closed; }
     void close();
     std::size_t streams() const { return m_streams.size(); }
-    // Bytes sent and received since the start, framing included.
+    // Returns the number of bytes sent and received on this connection, including framing.
     std::uint64_t bytesMoved() const { return m_bytesMoved; }
 
 private:
--- a/coltsfootbend/net/http.cpp
+++ b/coltsfootbend/net/http.cpp
@@ -41,7 +41,7 @@
     }
 }
 
-// Answers one request on one connection.
+// Writes the response to one request to its connection.
 class beast_responder final : public http_responder {
 public:
     beast_responder(fiber_runtime& runtime, byte_stream_ptr stream, const http_server_options& options,
@@ -115,15 +115,15 @@
         m_stream->close();
     }
 
-    void watch(std::function<void()> gone) override
+    void watch(std::function<void()> onDisconnect) override
     {
         m_watch = std::make_shared<watch_state>(m_runtime);
-        m_runtime.spawn([stream = m_stream, watch = m_watch, gone = std::move(gone)] {
-            // A wait that begins after `cancelWait` would end only with the caller, and hold its answer back until
-            // then.
+        m_runtime.spawn([stream = m_stream, watch = m_watch, onDisconnect = std::move(onDisconnect)] {
+            // `cancelWait` cannot end a wait that begins after it. Such a wait would last until the caller sends or
+            // disconnects, and `stopWatching` would delay the response until then.
             const bool closed = !watch->stopped && stream->waitForClose();
             if (closed && !watch->stopped)
-                gone();
+                onDisconnect();
             watch->ended = true;
             watch->changed.notify();
         });
@@ -131,7 +131,7 @@
 
     std::string peerName() const override { return m_stream->peerName(); }
 
-    // The watcher must be gone before the connection is read again.
+    // Ends the watching fiber. It must have ended before the connection is read again.
     void stopWatching()
     {
         if (!m_watch)
@@ -196,7 +196,7 @@
         && code != http::error::end_of_stream && code != http::error::partial_message;
 }
 
-// Waits until the first bytes of a request are in `buffer`. Returns false when none came in time.
+// Waits until the first bytes of a request are in `buffer`. Returns false when none arrive within `idleLimit`.
 bool awaitRequest(const byte_stream_ptr& stream, beast::flat_buffer& buffer, duration idleLimit, idle_connections* idle)
 {
     if (buffer.size() > 0)
@@ -212,8 +212,8 @@
     return got.has_value();
 }
 
-// A coding other than "chunked" leaves the end of the body unknown: what follows the head would be taken for another
-// request. The same holds for a length beside a coding.
+// Returns whether the end of the body is ambiguous: with a transfer coding other than "chunked", with several codings
+// or lengths, or with both. Bytes of the body could then be parsed as another request (request smuggling).
 bool hasUnknownFraming(const http::request<http::string_body>& message)
 {
     if (message.count(http::field::transfer_encoding) == 0)
@@ -222,7 +222,7 @@
         || !boost::algorithm::iequals(message[http::field::transfer_encoding], "chunked");
 }
 
-// Reads, serves and answers one request. Returns whether the connection can carry another.
+// Reads one request, and sends the response. Returns whether the connection can be used for another request.
 bool serveOne(fiber_runtime& runtime, const byte_stream_ptr& stream, beast::flat_buffer& buffer,
     const http_server_options& options, const http_handler& handler, const std::function<bool()>& isLeaving,
     idle_connections* idle)
@@ -383,7 +383,7 @@
 {
     bool reused = false;
     auto connection = obtain(address, deadline, reused);
-    // A kept connection that the other side closed meanwhile is noticed before anything is sent on it.
+    // Discard idle connections that the server has closed, before anything is sent on them.
     while (connection && reused && !(*connection)->isOpenAndQuiet()) {
         (*connection)->close();
         connection = obtain(address, deadline, reused);
@@ -399,14 +399,14 @@
         call->detach();
     if (done && keepsAlive)
         keep(address, *connection);
-    // One that fell silent says nothing good of those kept beside it, which may be as silent.
+    // When a reused connection is unresponsive, the other idle connections to this server may be as well: drop them.
     const bool wasSilent = clock_type::now() >= deadline || (call && call->isCancelled());
     if (!done && reused && wasSilent)
         m_idle.erase(address);
     return done;
 }
 
-// Sends and reads the whole answer on one connection.
+// Sends a request and reads the complete response on one connection.
 result<void> http_client::exchange(byte_stream& stream, const endpoint& address, const http_request& request,
     const streaming& streaming, bool& keepsAlive)
 {
--- a/coltsfootbend/net/http.h
+++ b/coltsfootbend/net/http.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// HTTP/1.1 as the daemons use it: plain request and response values, and streamed bodies. The wire work is Beast's.
-// Limits on sizes and deadlines are part of every call. Not for traffic between our own processes: see `net/h2.h`.
+// HTTP/1.1 server and client for the daemons, over Beast: plain request and response values, and streamed bodies.
+// Every call has size limits and a deadline. Not for traffic between the system's own processes: see `net/h2.h`.
 //
 //     http_client client(runtime);
 //     auto answer = client.send(address, { .method = "GET", .target = "/health" }, deadline);
@@ -43,7 +43,8 @@
     std::string body;
 };
 
-// Returns the value of the header `name` (any case), or none. A header given twice counts as none: see `headerCount`.
+// Returns the value of the header `name` (case-insensitive), or none. Returns none for a header that occurs more than
+// once: see `headerCount`.
 std::optional<std::string> findHeader(const std::vector<http_header>&, std::string_view name);
 std::size_t headerCount(const std::vector<http_header>&, std::string_view name);
 
@@ -52,37 +53,38 @@
 // Returns the value of `name` in the query of `target`, or none. No percent decoding.
 std::optional<std::string> queryValue(std::string_view target, std::string_view name);
 
-// How a handler answers one request: either `send` once, or `begin`, any number of `write`, and `end`.
+// Sends the response to one request: either `send` once, or `begin`, any number of `write`, and `end`.
 class http_responder {
 public:
     virtual ~http_responder() = default;
     virtual io_result<void> send(const http_response&) = 0;
     virtual io_result<void> begin(const http_head&) = 0;
-    // Blocks until the caller's side has taken the bytes, so a slow caller slows its own answer only.
+    // Blocks until the bytes are written to the caller's connection, so a slow caller delays only its own response.
     virtual io_result<void> write(std::string_view bytes) = 0;
     virtual io_result<void> end() = 0;
-    // Breaks the connection, so that the caller sees that a begun answer is not whole.
+    // Closes the connection, so that the caller can detect that a started response is incomplete.
     virtual void abort() = 0;
-    // Calls `gone` once if the caller goes away while the handler runs.
-    virtual void watch(std::function<void()> gone) = 0;
-    // Common name of the caller's certificate; empty without mutual TLS.
+    // Calls `onDisconnect` once if the caller disconnects while the handler runs.
+    virtual void watch(std::function<void()> onDisconnect) = 0;
+    // Returns the common name in the caller's certificate; empty without mutual TLS.
     virtual std::string peerName() const = 0;
 };
 
-// Read at the beginning of each request, so the owner may change them while connections are open.
+// Limits of a server. They are read at the beginning of each request, so the owner may change them while connections
+// are open.
 struct http_server_options {
     std::size_t maxHeaderBytes = std::size_t { 16 } * 1024;
     std::size_t maxBodyBytes = std::size_t { 4 } * 1024 * 1024;
-    // Without a byte of a request.
+    // Maximum wait for the first byte of a request.
     duration idleLimit = std::chrono::seconds(60);
-    // From the first byte of a request to the end of its head.
+    // Maximum time from the first byte of a request to the end of its head.
     duration headLimit = std::chrono::seconds(10);
-    // Without a further byte of a body.
+    // Maximum time to read a request body.
     duration readLimit = std::chrono::seconds(10);
     duration writeLimit = std::chrono::seconds(10);
 };
 
-// The connections that wait for a request, so that a process that leaves can close these and no other.
+// The connections that wait for a request. A leaving process closes these without cutting off requests in progress.
 class idle_connections {
 public:
     void add(const byte_stream_ptr& stream) { m_streams.insert(stream); }
@@ -100,25 +102,25 @@
 
 using http_handler = std::function<void(const http_request&, http_responder&)>;
 
-// Serves requests from one connection, one after the other, until it closes. Malformed or oversize requests are
-// answered with a typed error and end the connection. `isLeaving` makes every answer the connection's last. `idle`,
-// when given, lists the connection while it waits for a request.
+// Serves the requests of one connection sequentially until it closes. Malformed and oversize requests receive an error
+// response, after which the connection is closed. While `isLeaving` returns true, the connection is closed after the
+// next response. `idle`, when given, contains the connection while it waits for a request.
 void serveHttp(fiber_runtime&, const byte_stream_ptr&, const http_server_options&, const http_handler&,
     const std::function<bool()>& isLeaving, idle_connections* idle = nullptr);
 
-// Listens on `address` without TLS and serves what comes, for inner interfaces that are never asked to leave. Fails
-// with `Unavailable` when the address cannot be had.
+// Listens on `address` without TLS and serves its requests, for internal interfaces that need no graceful shutdown.
+// Fails with `Unavailable` when the address cannot be bound.
 result<std::shared_ptr<listener>> listenHttp(
     fiber_runtime&, const endpoint& address, const http_server_options&, http_handler);
 
-// Sends requests, and keeps connections for later ones.
+// Sends requests, and keeps idle connections for reuse.
 class http_client {
 public:
     struct options {
         std::size_t maxBodyBytes = std::size_t { 64 } * 1024 * 1024;
         std::size_t keptPerEndpoint = 64;
-        // An opening packet that was lost is sent again only after seconds, so a call with a late deadline would still
-        // wait for it long after the other side can be reached again.
+        // Maximum time to connect. TCP retransmits a lost SYN only after seconds, so without this limit a call with a
+        // late deadline would keep waiting long after the server is reachable again.
         duration connectLimit = std::chrono::milliseconds(500);
         tls_context tls;
     };
@@ -133,16 +135,17 @@
     {
     }
 
-    // Sends and waits for the whole answer. Fails with `Unavailable` when nothing was sent, with `Lost` when the
-    // answer never came whole or `call` was cancelled, with `BadInput` when it cannot be understood.
+    // Sends a request and waits for the complete response. Fails with `Unavailable` when nothing was sent, and with
+    // `Lost` when the response is incomplete, malformed or too large, or when `call` was cancelled.
     result<http_response> send(const endpoint&, const http_request&, time_point deadline, cancellation* call = nullptr);
 
-    // As `send`, but hands over the head and then the body as it comes. Returning false from `onBytes` fails it as
-    // `Lost`.
+    // Receives the head and then the body of a response as they arrive. The call fails with `Lost` when `onBytes`
+    // returns false.
     struct streaming {
         std::function<void(const http_head&)> onHead;
         std::function<bool(std::string_view)> onBytes;
     };
+    // Sends a request and passes the response to `streaming` as it arrives. Fails as `send` does.
     result<void> stream(
         const endpoint&, const http_request&, time_point deadline, const streaming&, cancellation* call = nullptr);
 
@@ -156,7 +159,7 @@
     std::map<endpoint, std::vector<byte_stream_ptr>> m_idle;
 };
 
-// The body of every error answer: {"error":{"kind":…,"message":…,"remedy":…}}.
+// Returns an error response with the body {"error":{"kind":…,"message":…,"remedy":…}}.
 http_response errorResponse(int status, const error&);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/net/net_test.cpp
+++ b/coltsfootbend/net/net_test.cpp
@@ -1,4 +1,4 @@
-// The transports against each other on loopback, and malformed input against the server.
+// Tests the clients and servers of each transport on loopback, and malformed input to the servers.
 
 #include "coltsfootbend/net/h2.h"
 #include "coltsfootbend/net/http.h"
@@ -14,7 +14,7 @@
 
 time_point soon() { return clock_type::now() + 5s; }
 
-// Runs `work` on a runtime of its own in a thread of its own: a thread has one fiber scheduler for good.
+// Runs `work` on a new runtime in a new thread, because the fiber scheduler of a thread cannot be replaced.
 void onRuntime(const std::function<void(fiber_runtime&)>& work)
 {
     std::thread([&] {
@@ -59,7 +59,7 @@
     return *opened;
 }
 
-TEST(Http, AnswersWholeStreamedAndBrokenOnes)
+TEST(Http, DeliversWholeAndStreamedResponsesAndDetectsBrokenOnes)
 {
     onRuntime([](fiber_runtime& runtime) {
         const auto server = serveEcho(runtime);
@@ -79,7 +79,7 @@
     });
 }
 
-TEST(Http, NothingSentIsToldApartFromLost)
+TEST(Http, ARefusedConnectionIsUnavailableRatherThanLost)
 {
     onRuntime([](fiber_runtime& runtime) {
         const auto server = serveEcho(runtime);
@@ -127,8 +127,8 @@
     });
 }
 
-// A listener whose queue is full drops opening packets, as a partition does.
-TEST(Http, AServerThatDropsOpeningPacketsIsGivenUpLongBeforeTheDeadline)
+// A listener with a full accept queue drops SYN packets, as a network partition does.
+TEST(Http, ConnectingToAServerThatDropsSynPacketsFailsLongBeforeTheDeadline)
 {
     onRuntime([](fiber_runtime& runtime) {
         boost::asio::ip::tcp::acceptor silent(runtime.io(), { boost::asio::ip::make_address("127.0.0.1"), 0 });
@@ -149,10 +149,10 @@
     });
 }
 
-// An answer that was ready at once was held back until its caller spoke again or left: it waited for the end of a look
-// at the caller's connection that had not begun yet, and then began, with nobody to end it. Callers saw no refusal,
-// only silence; the log said that they were refused 0 ms after they came.
-TEST(Http, AnAnswerThatIsReadyAtOnceReachesACallerThatIsWatched)
+// Guards against a response that is delayed until the caller sends again or disconnects: when the response is sent
+// before the fiber that watches the connection has started to wait, the cancellation of that wait has no effect, and
+// the response would wait for it.
+TEST(Http, AnImmediateResponseIsDeliveredWhileTheCallerIsWatched)
 {
     onRuntime([](fiber_runtime& runtime) {
         const auto server = listenHttp(
@@ -170,7 +170,7 @@
     });
 }
 
-TEST(Http, ACallThatIsCancelledEndsAtOnce)
+TEST(Http, ACancelledCallEndsImmediately)
 {
     onRuntime([](fiber_runtime& runtime) {
         boost::asio::ip::tcp::acceptor silent(runtime.io(), { boost::asio::ip::make_address("127.0.0.1"), 0 });
@@ -194,9 +194,9 @@
     });
 }
 
-// Connections can fall silent without a reset while new ones work. Two were kept; once a call on one has waited in
-// vain, the next call must not wait on the other.
-TEST(Http, AKeptConnectionThatFellSilentIsNotFollowedByTheNextOne)
+// Idle connections can stall without a reset while new ones work. After a call on one of two idle connections has timed
+// out, the next call must not use the other one.
+TEST(Http, AStalledConnectionIsNotReplacedByAnotherIdleOne)
 {
     onRuntime([](fiber_runtime& runtime) {
         bool isSilent = false;
@@ -231,7 +231,7 @@
     });
 }
 
-// What follows a body of unknown length would be answered as a second request.
+// Guards against request smuggling: bytes after a body of unknown length would be answered as a second request.
 TEST(Http, ABodyOfUnknownFramingIsRefusedAndClosesTheConnection)
 {
     onRuntime([](fiber_runtime& runtime) {
@@ -356,7 +356,7 @@
     });
 }
 
-TEST(H2, BytesThatAreNoHttp2CloseTheConnectionOnly)
+TEST(H2, BytesThatAreNotHttp2CloseOnlyTheirConnection)
 {
     onRuntime([](fiber_runtime& runtime) {
         const auto server = serveStreams(runtime);
--- a/coltsfootbend/net/port_probe.h
+++ b/coltsfootbend/net/port_probe.h
@@ -1,21 +1,22 @@
 #pragma once
 
-// Whether anybody listens at an address. For telling a process that has ended from one that broke off one exchange: the
-// first one's port refuses connections. Not for whether a process is well.
+// Checks whether a process listens at an address. Distinguishes a terminated process, whose port refuses connections,
+// from a process that aborted a single exchange. Not a health check.
 //
-//     if (probePort(runtime, address, clock_type::now() + 300ms) == port_state::Refused) // nobody is there
+//     if (probePort(runtime, address, clock_type::now() + 300ms) == port_state::Refused) // terminated
 
 #include "coltsfootbend/net/byte_stream.h"
 
 namespace coltsfootbend {
 
+// The outcome of a probe.
 enum class port_state {
-    Open,
-    Refused, // The VM is there and nobody listens.
-    Unknown, // No answer by the deadline, or another error: nothing follows from it.
+    Open, // A process accepted the connection.
+    Refused, // The VM is reachable, and no process listens at the port.
+    Unknown, // No response by the deadline, or another error: the state of the process cannot be inferred.
 };
 
-// Connects and closes at once. Blocks the calling fiber until `deadline` at most.
+// Connects to `address` and closes the connection. Blocks the calling fiber until `deadline` at most.
 port_state probePort(fiber_runtime&, const endpoint&, time_point deadline);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/net/tls.h
+++ b/coltsfootbend/net/tls.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// TLS contexts from certificate files, over OpenSSL. A context is made anew when its files change, and each connection
-// takes the one that is current when it begins, so a new certificate cuts off nobody.
+// TLS contexts from certificate files, over OpenSSL. A context is reloaded when its files change, and each connection
+// keeps the context that was current when it was opened, so a new certificate does not interrupt open connections.
 //
 //     auto store = tls_store::open(settings, tls_role::MutualServer);
 //     listener::open(runtime, { .address = address, .tls = (*store)->source() }, handler);
@@ -15,20 +15,23 @@
 
 namespace coltsfootbend {
 
+// The side of a connection, and whether the peer must be authenticated.
 enum class tls_role {
-    Server, // Shows a certificate.
-    MutualServer, // Shows one, and wants one from the other side that the authority signed.
-    MutualClient,
+    Server, // Presents a certificate.
+    MutualServer, // Presents a certificate, and requires a client certificate signed by the configured authority.
+    MutualClient, // Presents a certificate, and requires a server certificate signed by the configured authority.
 };
 
+// Loads the certificate files of one role, and reloads them when they change.
 class tls_store : public std::enable_shared_from_this<tls_store> {
 public:
-    // Fails with `BadInput` when a file cannot be read or does not fit the others.
+    // Loads the files. Fails with `BadInput` when a file cannot be read or the key does not match the certificate.
     static result<std::shared_ptr<tls_store>> open(const tls_settings&, tls_role);
 
-    // Returns the current context. Looks at the files' times at most once a second; files that cannot be used leave
-    // the former context in place.
+    // Returns the current context. Checks the modification times of the files at most once per second, and keeps the
+    // previous context when the changed files are invalid.
     tls_context current();
+    // Returns a function that calls `current`, for `listener::options::tls`.
     std::function<tls_context()> source();
 
 private:
--- a/coltsfootbend/net/tls_test.cpp
+++ b/coltsfootbend/net/tls_test.cpp
@@ -14,7 +14,7 @@
 
 time_point soon() { return clock_type::now() + 5s; }
 
-// A certificate authority in a folder of its own that signs what the test asks for.
+// Provides a certificate authority in a temporary folder, which signs the certificates of a test.
 class Tls : public testing::Test { // NOLINT(readability-identifier-naming)
 protected:
     Tls()
@@ -32,7 +32,7 @@
         std::filesystem::remove_all(m_folder);
     }
 
-    // Makes a certificate for `name`, signed by the authority, in the files `file`.pem and `file`.key.
+    // Creates a certificate for `name`, signed by the authority, in the files `file`.pem and `file`.key.
     tls_settings issue(const std::string& file, const std::string& name)
     {
         auto* key = EVP_EC_gen("P-256");
@@ -48,7 +48,7 @@
 
     std::string path(const std::string& file) const { return (m_folder / file).string(); }
 
-    // Serves one greeting a connection, and returns what each client context got.
+    // Sends one greeting per connection, and returns the text that each client context received.
     std::vector<std::string> greet(const std::shared_ptr<tls_store>& server, const std::vector<tls_context>& clients)
     {
         std::vector<std::string> heard;
@@ -122,7 +122,7 @@
     X509* m_authority;
 };
 
-TEST_F(Tls, BothSidesShowWhoTheyAreAndStrangersAreTurnedAway)
+TEST_F(Tls, PeersAuthenticateEachOtherAndClientsWithoutCertificateAreRejected)
 {
     const auto server = *tls_store::open(issue("server", "worker-1"), tls_role::MutualServer);
     const auto client = *tls_store::open(issue("client", "entry-1"), tls_role::MutualClient);
