--- a/coltsfootbend/engine/standin.cpp
+++ b/coltsfootbend/engine/standin.cpp
@@ -14,7 +14,8 @@
 constexpr int defaultTokens = 16;
 constexpr int maxTokens = 100'000;
 
-// What the stand-in answers to a prompt: callers can check that they got the answer to their own request.
+// Returns the token at `index` of the answer to `prompt`. The first token contains the hash of the prompt, so that
+// callers can verify that the answer belongs to their request.
 std::string tokenAt(const std::string& prompt, int index)
 {
     if (index == 0)
--- a/coltsfootbend/engine/standin.h
+++ b/coltsfootbend/engine/standin.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// Plays a model engine and a plain service for tests and trials on one machine, never for service. It answers
-// chat-completions requests token by token at a fixed step, whole or as server-sent events, pauses and resumes streams
-// when told to, echoes any other request, and counts how often it ran each request. docs/API.md shows the shapes.
+// Simulates a model engine and a plain HTTP service for tests and trials on one machine; never for production. It
+// answers chat-completions requests token by token at a fixed step, as one JSON response or as server-sent events,
+// pauses and resumes streams on request, echoes any other request, and counts how often it executed each request.
+// docs/API.md documents the formats.
 
 #include "coltsfootbend/kernel/kernel.h"
 #include "coltsfootbend/net/http.h"
@@ -13,6 +14,7 @@
 
 namespace coltsfootbend {
 
+// A simulated engine that listens on one address.
 class engine_standin final : public service {
 public:
     engine_standin(fiber_runtime&, const engine_standin_settings&);
@@ -31,7 +33,7 @@
     fiber_runtime& m_runtime;
     const engine_standin_settings m_settings;
     std::shared_ptr<listener> m_listener;
-    // How often each request text was run.
+    // Number of executions of each request, by prompt or by target and body.
     std::map<std::string, int> m_runs;
     std::set<std::string> m_paused;
 };
--- a/coltsfootbend/operators/operator_service.cpp
+++ b/coltsfootbend/operators/operator_service.cpp
@@ -167,7 +167,7 @@
         return answer({ { "version", accepted->number() } });
     if (accepted.error().kind != error_kind::Stale)
         return failed(accepted.error());
-    // Whoever is late is told what happened meanwhile, to write the patch anew with open eyes.
+    // The response lists the changes since the stale version, so that the operator can revise the patch against them.
     auto response = json::parse(failed(accepted.error()).body);
     response["changes"] = json::array();
     if (const auto steps = m_configuration->history(config_version(patch.against.number() + 1), deadline)) {
--- a/coltsfootbend/operators/operator_service.h
+++ b/coltsfootbend/operators/operator_service.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// The operators' side of an entry VM over HTTP: status, the configuration and its history, drains and metrics.
-// `coltsfootbendctl` is its usual client; docs/operators/API.md lists the resources. Found by the name "operators".
+// The operators' HTTP interface of an entry VM: status, the configuration and its history, drains and metrics.
+// `coltsfootbendctl` is its usual client; docs/operators/API.md lists the resources. Registered in the kernel as
+// "operators".
 
 #include "coltsfootbend/entry/entry_service.h"
 
@@ -9,9 +10,10 @@
 
 namespace coltsfootbend {
 
+// Authenticates operators and answers their requests.
 class operator_service final : public service {
 public:
-    // `onDrain` makes this process leave. `tls` is asked for at each connection; none for plain TCP.
+    // `onDrain` starts the drain of this process. `tls` is called for each connection; pass none for plain TCP.
     operator_service(fiber_runtime&, const daemon_settings&, incarnation life, std::function<tls_context()> tls,
         std::function<void()> onDrain);
 
--- a/coltsfootbend/worker/worker_service.cpp
+++ b/coltsfootbend/worker/worker_service.cpp
@@ -14,6 +14,7 @@
 
 constexpr std::size_t maxAttempts = 8192;
 constexpr std::size_t maxKeys = 100'000;
+// Number of entries in the worker's own data centre that receive its announcements.
 constexpr std::size_t localTargets = 4;
 constexpr std::chrono::milliseconds localAnnounceInterval { 1000 };
 constexpr std::chrono::milliseconds remoteAnnounceInterval { 5000 };
@@ -127,7 +128,7 @@
     const auto admitted = std::make_shared<run>();
     admitted->request = request;
     admitted->deadline = deadline;
-    // Only a first copy may be entered: the run of an earlier one has its followers.
+    // A duplicate dispatch must not replace the run of the first one, because other streams may be following that run.
     m_runs.try_emplace(request.attempt, admitted);
     if (const auto refused = m_executor.dispatch(now, job, request.workerLife)) {
         if (m_runs.at(request.attempt) == admitted)
@@ -181,7 +182,8 @@
     (void)stream.send(toMessage(reply), true);
 }
 
-// Sends what there is and then what comes, until the answer ends. Every joiner has its own stream and its own pace.
+// Sends the available part of the answer and then each further part, until the answer ends. Every joiner has its own
+// stream, so a slow joiner does not delay the others.
 void worker_service::streamAnswer(
     peer_stream& stream, const attempt_id& attempt, const run_ptr& followed, std::uint64_t offset, time_point deadline)
 {
@@ -202,7 +204,7 @@
     --m_openStreams;
 }
 
-// Returns whether there is more to wait for.
+// Sends all pieces that are available. Returns whether further pieces are expected.
 bool worker_service::sendPieces(peer_stream& stream, const attempt_id& attempt, answer_position& position)
 {
     while (true) {
@@ -284,7 +286,7 @@
         m_executor.backendEnd(clock_type::now(), attempt);
     } else {
         logEvent(log_event::EngineFailed, toString(done.error()));
-        // No connection, so nothing was given to it: that is proof.
+        // Without a connection nothing was sent, which proves that the attempt did not run.
         if (done.error().kind == error_kind::Unavailable)
             m_executor.backendUnreachable(clock_type::now(), attempt);
         else
@@ -409,12 +411,13 @@
     announceEverywhere();
     m_executor.leave();
     performActions();
-    // Claims go first: the next life may start as soon as this one is gone.
+    // Hand over the claims first, because the next incarnation may start as soon as this one terminates.
     handOverLedger(deadline);
     constexpr std::chrono::milliseconds look { 20 };
     while ((!m_executor.isIdle() || m_openStreams > 0) && clock_type::now() < deadline)
         m_runtime.sleepFor(look);
-    // Entry VMs whose word is still on its way must hear "leaving" rather than silence.
+    // Stay reachable a little longer, so that messages that entry VMs have already sent are answered with "leaving"
+    // instead of timing out.
     m_runtime.sleepFor(std::chrono::milliseconds(200));
 }
 
--- a/coltsfootbend/worker/worker_service.h
+++ b/coltsfootbend/worker/worker_service.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// The worker daemon's part beside one backend server: admits attempts, gives them to the engine or plain service over
-// HTTP, keeps their answers for joins, keeps the claims of the keys whose home it is, and announces itself. The
-// decisions are `attempt_executor`'s; this drives it. Found by the name "worker".
+// The worker daemon's service beside one backend server: admits attempts, sends them to the engine or plain service
+// over HTTP, retains their answers for joins, stores the claims of the keys whose home it is, and announces its load to
+// the entries. `attempt_executor` makes the decisions; this service carries them out. Registered in the kernel
+// as "worker".
 
 #include "coltsfootbend/config/config_service.h"
 #include "coltsfootbend/execution/attempt_executor.h"
@@ -16,6 +17,7 @@
 
 namespace coltsfootbend {
 
+// Connects the attempt executor with the peers, the backend server and the platform.
 class worker_service final : public service {
 public:
     worker_service(fiber_runtime&, const daemon_settings&, incarnation life);
@@ -26,7 +28,7 @@
     void stop() override { m_stopped = true; }
 
 private:
-    // An attempt that waits or runs.
+    // An attempt that is queued or running.
     struct run {
         wire::dispatch request;
         time_point deadline {};
