--- a/coltsfootbend/base/log_event.cpp
+++ b/coltsfootbend/base/log_event.cpp
@@ -16,10 +16,10 @@
 
 // Above the 60 lines per second of an entry at its planned peak (20 requests per second, three lines each); a flood of
 // one event is dropped.
-constexpr event_limiter::options limits { .perSecond = 100, .burst = 300 };
+constexpr event_limiter::options eventLimits { .perSecond = 100, .burst = 300 };
 // Maximum length of a message; longer ones are truncated. A write of at most PIPE_BUF bytes (4096) is atomic, so a line
 // is written to a pipe as a whole or not at all.
-constexpr std::size_t longestLine = 2000;
+constexpr std::size_t maxMessageBytes = 2000;
 
 // Writes log lines to standard output without blocking. Lines that the reader leaves no space for are dropped and
 // counted.
@@ -34,21 +34,21 @@
         (void)std::snprintf(stamp.data() + written, stamp.size() - written, ".%06d %c ", time.usec(),
             google::GetLogSeverityName(severity)[0]);
         std::string line = stamp.data();
-        line.append(message, std::min(length, longestLine));
+        line.append(message, std::min(length, maxMessageBytes));
         line += '\n';
         if (!writeLine(STDOUT_FILENO, line))
-            ++m_unwritten;
-        else if (m_unwritten > 0 && writeLine(STDOUT_FILENO, unwrittenNote()))
-            m_unwritten = 0;
+            ++m_droppedLines;
+        else if (m_droppedLines > 0 && writeLine(STDOUT_FILENO, droppedLinesMessage()))
+            m_droppedLines = 0;
     }
 
 private:
-    std::string unwrittenNote() const
+    std::string droppedLinesMessage() const
     {
-        return "log: " + std::to_string(m_unwritten) + " lines dropped, output full\n";
+        return "log: " + std::to_string(m_droppedLines) + " lines dropped, output full\n";
     }
 
-    std::uint64_t m_unwritten = 0;
+    std::uint64_t m_droppedLines = 0;
 };
 
 output_sink& sink()
@@ -59,7 +59,7 @@
 
 event_limiter& limiter()
 {
-    static event_limiter instance(limits);
+    static event_limiter instance(eventLimits);
     return instance;
 }
 
--- a/coltsfootbend/net/byte_stream.cpp
+++ b/coltsfootbend/net/byte_stream.cpp
@@ -27,7 +27,7 @@
 constexpr int keepAliveProbes = 2;
 constexpr int unacknowledgedLimitMs = 3000;
 
-void setLivenessProbes(tcp::socket& socket)
+void enableKeepAliveProbes(tcp::socket& socket)
 {
     const auto set = [&](int level, int name, int value) {
         // Best effort: without the probes, a broken connection is detected later, at its deadline.
@@ -66,10 +66,10 @@
         const auto ready = socket().async_wait(tcp::socket::wait_read, useFiber);
         if (!ready)
             return ready.error() != asio::error::operation_aborted;
-        return peek() == peeked::Closed;
+        return peek() == peek_result::Closed;
     }
 
-    bool isOpenAndQuiet() override { return peek() == peeked::Nothing; }
+    bool isOpenAndQuiet() override { return peek() == peek_result::Nothing; }
 
     void cancelWait() override
     {
@@ -85,17 +85,17 @@
     }
 
 protected:
-    enum class peeked { Nothing, Bytes, Closed };
+    enum class peek_result { Nothing, Bytes, Closed };
 
-    peeked peek()
+    peek_result peek()
     {
         char byte = 0;
         boost::system::error_code code;
         socket().non_blocking(true, code);
         const auto got = socket().receive(asio::buffer(&byte, 1), tcp::socket::message_peek, code);
         if (code == asio::error::would_block)
-            return peeked::Nothing;
-        return code || got == 0 ? peeked::Closed : peeked::Bytes;
+            return peek_result::Nothing;
+        return code || got == 0 ? peek_result::Closed : peek_result::Bytes;
     }
 
     beast::tcp_stream& lowest() { return beast::get_lowest_layer(m_stream); }
@@ -144,7 +144,7 @@
 {
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
-    setLivenessProbes(socket);
+    enableKeepAliveProbes(socket);
     if (!tls)
         return std::make_shared<tcp_byte_stream>(std::move(socket));
     auto stream = std::make_shared<tls_byte_stream>(std::move(socket), tls);
--- a/coltsfootbend/net/h2.cpp
+++ b/coltsfootbend/net/h2.cpp
@@ -57,7 +57,7 @@
         if (ends && (frame->hd.type == NGHTTP2_HEADERS || frame->hd.type == NGHTTP2_DATA)) {
             if (const auto stream = connection.find(id)) {
                 stream->m_incomingEnded = true;
-                stream->m_news.notify();
+                stream->m_incomingSignal.notify();
             }
         }
         return 0;
@@ -82,7 +82,7 @@
         auto& connection = self(user);
         if (const auto stream = connection.find(id)) {
             stream->m_incoming.append(reinterpret_cast<const char*>(data), length);
-            stream->m_news.notify();
+            stream->m_incomingSignal.notify();
         } else {
             connection.consumed(id, length);
         }
@@ -222,8 +222,8 @@
         }
         if (batch.empty()) {
             std::unique_lock lock(m_mutex);
-            m_writable.wait(lock, [this] { return m_writeWanted || m_closed; });
-            m_writeWanted = false;
+            m_writable.wait(lock, [this] { return m_writePending || m_closed; });
+            m_writePending = false;
             continue;
         }
         m_bytesMoved += batch.size();
@@ -235,7 +235,7 @@
 
 void h2_connection::wakeWriter()
 {
-    m_writeWanted = true;
+    m_writePending = true;
     m_writable.notify_all();
 }
 
@@ -243,7 +243,7 @@
 {
     stream.m_broken = true;
     stream.m_changed.notify_all();
-    stream.m_news.notify();
+    stream.m_incomingSignal.notify();
 }
 
 void h2_connection::fail()
@@ -309,7 +309,7 @@
 result<std::optional<std::string>> h2_stream::receive(time_point deadline)
 {
     while (m_incoming.empty() && !m_incomingEnded && !m_broken) {
-        if (!m_news.waitUntil(deadline))
+        if (!m_incomingSignal.waitUntil(deadline))
             break;
     }
     if (!m_incoming.empty()) {
--- a/coltsfootbend/net/h2.h
+++ b/coltsfootbend/net/h2.h
@@ -32,7 +32,7 @@
     h2_stream(fiber_runtime& runtime, std::weak_ptr<h2_connection> connection, std::int32_t id)
         : m_connection(std::move(connection))
         , m_id(id)
-        , m_news(runtime)
+        , m_incomingSignal(runtime)
     {
     }
 
@@ -59,7 +59,7 @@
     bool m_broken = false;
     boost::fibers::mutex m_mutex;
     boost::fibers::condition_variable m_changed;
-    fiber_signal m_news; // Notified when bytes arrive, or when no more can arrive.
+    fiber_signal m_incomingSignal; // Notified when bytes arrive, or when no more can arrive.
 };
 
 using h2_stream_ptr = std::shared_ptr<h2_stream>;
@@ -114,7 +114,7 @@
     std::map<std::int32_t, h2_stream_ptr> m_streams;
     std::map<std::int32_t, std::string> m_paths;
     bool m_closed = false;
-    bool m_writeWanted = false;
+    bool m_writePending = false;
     std::uint64_t m_bytesMoved = 0;
     boost::fibers::mutex m_mutex;
     boost::fibers::condition_variable m_writable;
--- a/coltsfootbend/net/http.cpp
+++ b/coltsfootbend/net/http.cpp
@@ -197,7 +197,8 @@
 }
 
 // Waits until the first bytes of a request are in `buffer`. Returns false when none arrive within `idleLimit`.
-bool awaitRequest(const byte_stream_ptr& stream, beast::flat_buffer& buffer, duration idleLimit, idle_connections* idle)
+bool waitForRequest(
+    const byte_stream_ptr& stream, beast::flat_buffer& buffer, duration idleLimit, idle_connections* idle)
 {
     if (buffer.size() > 0)
         return true;
@@ -227,7 +228,7 @@
     const http_server_options& options, const http_handler& handler, const std::function<bool()>& isLeaving,
     idle_connections* idle)
 {
-    if (!awaitRequest(stream, buffer, options.idleLimit, idle))
+    if (!waitForRequest(stream, buffer, options.idleLimit, idle))
         return false;
     http::request_parser<http::string_body> parser;
     parser.header_limit(static_cast<std::uint32_t>(options.maxHeaderBytes));
@@ -342,7 +343,7 @@
             const byte_stream_ptr& stream) { serveHttp(runtime, stream, options, handler, [] { return false; }); });
 }
 
-result<byte_stream_ptr> http_client::obtain(const endpoint& address, time_point deadline, bool& reused)
+result<byte_stream_ptr> http_client::acquireConnection(const endpoint& address, time_point deadline, bool& reused)
 {
     auto& idle = m_idle[address];
     reused = !idle.empty();
@@ -382,11 +383,11 @@
     const streaming& streaming, cancellation* call)
 {
     bool reused = false;
-    auto connection = obtain(address, deadline, reused);
+    auto connection = acquireConnection(address, deadline, reused);
     // Discard idle connections that the server has closed, before anything is sent on them.
     while (connection && reused && !(*connection)->isOpenAndQuiet()) {
         (*connection)->close();
-        connection = obtain(address, deadline, reused);
+        connection = acquireConnection(address, deadline, reused);
     }
     if (!connection)
         return tl::unexpected(connection.error());
@@ -400,8 +401,8 @@
     if (done && keepsAlive)
         keep(address, *connection);
     // When a reused connection is unresponsive, the other idle connections to this server may be as well: drop them.
-    const bool wasSilent = clock_type::now() >= deadline || (call && call->isCancelled());
-    if (!done && reused && wasSilent)
+    const bool wasUnresponsive = clock_type::now() >= deadline || (call && call->isCancelled());
+    if (!done && reused && wasUnresponsive)
         m_idle.erase(address);
     return done;
 }
--- a/coltsfootbend/net/http.h
+++ b/coltsfootbend/net/http.h
@@ -151,7 +151,7 @@
 
 private:
     result<void> exchange(byte_stream&, const endpoint&, const http_request&, const streaming&, bool& keepsAlive);
-    result<byte_stream_ptr> obtain(const endpoint&, time_point deadline, bool& reused);
+    result<byte_stream_ptr> acquireConnection(const endpoint&, time_point deadline, bool& reused);
     void keep(const endpoint&, byte_stream_ptr);
 
     fiber_runtime& m_runtime;
--- a/coltsfootbend/net/net_test.cpp
+++ b/coltsfootbend/net/net_test.cpp
@@ -131,9 +131,9 @@
 TEST(Http, ConnectingToAServerThatDropsSynPacketsFailsLongBeforeTheDeadline)
 {
     onRuntime([](fiber_runtime& runtime) {
-        boost::asio::ip::tcp::acceptor silent(runtime.io(), { boost::asio::ip::make_address("127.0.0.1"), 0 });
-        silent.listen(0);
-        const endpoint address { "127.0.0.1", silent.local_endpoint().port() };
+        boost::asio::ip::tcp::acceptor unresponsive(runtime.io(), { boost::asio::ip::make_address("127.0.0.1"), 0 });
+        unresponsive.listen(0);
+        const endpoint address { "127.0.0.1", unresponsive.local_endpoint().port() };
         std::vector<byte_stream_ptr> filling;
         for (int i = 0; i < 3; ++i) {
             if (auto stream = connectTcp(runtime, address, clock_type::now() + 200ms))
@@ -173,8 +173,8 @@
 TEST(Http, ACancelledCallEndsImmediately)
 {
     onRuntime([](fiber_runtime& runtime) {
-        boost::asio::ip::tcp::acceptor silent(runtime.io(), { boost::asio::ip::make_address("127.0.0.1"), 0 });
-        const endpoint address { "127.0.0.1", silent.local_endpoint().port() };
+        boost::asio::ip::tcp::acceptor unresponsive(runtime.io(), { boost::asio::ip::make_address("127.0.0.1"), 0 });
+        const endpoint address { "127.0.0.1", unresponsive.local_endpoint().port() };
         http_client client(runtime);
         cancellation call;
         runtime.spawn([&] {
@@ -199,7 +199,7 @@
 TEST(Http, AStalledConnectionIsNotReplacedByAnotherIdleOne)
 {
     onRuntime([](fiber_runtime& runtime) {
-        bool isSilent = false;
+        bool isStalled = false;
         int opened = 0;
         const auto server
             = listener::open(runtime, { .address = { "127.0.0.1", 0 }, .tls = {} }, [&](const byte_stream_ptr& stream) {
@@ -207,7 +207,7 @@
                   serveHttp(
                       runtime, stream, { .idleLimit = 2s, .readLimit = 2s },
                       [&, number](const http_request&, http_responder& responder) {
-                          runtime.sleepFor(isSilent && number <= 2 ? 1500ms : 20ms);
+                          runtime.sleepFor(isStalled && number <= 2 ? 1500ms : 20ms);
                           (void)responder.send({ { 200, {} }, "" });
                       },
                       [] { return false; });
@@ -224,7 +224,7 @@
         EXPECT_TRUE(call(1s));
         runtime.sleepFor(50ms);
         EXPECT_EQ(opened, 2);
-        isSilent = true;
+        isStalled = true;
         EXPECT_FALSE(call(200ms));
         EXPECT_TRUE(call(200ms));
         (*server)->close();
--- a/coltsfootbend/net/tls.cpp
+++ b/coltsfootbend/net/tls.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds lookInterval { 1 };
+constexpr std::chrono::seconds modificationCheckInterval { 1 };
 
 } // namespace
 
@@ -27,7 +27,7 @@
     if (!loaded)
         return tl::unexpected(loaded.error());
     store->m_context = std::move(*loaded);
-    store->m_loaded = store->newest();
+    store->m_loadedModification = store->newest();
     return store;
 }
 
@@ -73,15 +73,15 @@
 tls_context tls_store::current()
 {
     const auto now = clock_type::now();
-    if (now < m_lookAgainAt)
+    if (now < m_nextCheckAt)
         return m_context;
-    m_lookAgainAt = now + lookInterval;
+    m_nextCheckAt = now + modificationCheckInterval;
     const auto newestNow = newest();
-    if (newestNow == m_loaded)
+    if (newestNow == m_loadedModification)
         return m_context;
     if (auto loaded = load()) {
         m_context = std::move(*loaded);
-        m_loaded = newestNow;
+        m_loadedModification = newestNow;
     }
     return m_context;
 }
--- a/coltsfootbend/net/tls.h
+++ b/coltsfootbend/net/tls.h
@@ -42,8 +42,8 @@
     const tls_settings m_settings;
     const tls_role m_role;
     tls_context m_context;
-    std::filesystem::file_time_type m_loaded {};
-    time_point m_lookAgainAt {};
+    std::filesystem::file_time_type m_loadedModification {};
+    time_point m_nextCheckAt {};
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/net/tls_test.cpp
+++ b/coltsfootbend/net/tls_test.cpp
@@ -51,7 +51,7 @@
     // Sends one greeting per connection, and returns the text that each client context received.
     std::vector<std::string> greet(const std::shared_ptr<tls_store>& server, const std::vector<tls_context>& clients)
     {
-        std::vector<std::string> heard;
+        std::vector<std::string> greetings;
         std::thread([&] {
             fiber_runtime runtime;
             runtime.spawn([&] {
@@ -61,14 +61,14 @@
                         stream->close();
                     });
                 for (const auto& client : clients)
-                    heard.push_back(readAll(runtime, { "127.0.0.1", (*opened)->port() }, client));
+                    greetings.push_back(readAll(runtime, { "127.0.0.1", (*opened)->port() }, client));
                 (*opened)->close();
                 runtime.sleepFor(20ms);
                 runtime.stop();
             });
             runtime.run();
         }).join();
-        return heard;
+        return greetings;
     }
 
 private:
@@ -126,11 +126,11 @@
 {
     const auto server = *tls_store::open(issue("server", "worker-1"), tls_role::MutualServer);
     const auto client = *tls_store::open(issue("client", "entry-1"), tls_role::MutualClient);
-    const auto stranger = std::make_shared<boost::asio::ssl::context>(boost::asio::ssl::context::tls_client);
-    const auto heard = greet(server, { client->current(), stranger, nullptr });
-    EXPECT_EQ(heard[0], "worker-1: hello entry-1");
-    EXPECT_EQ(heard[1].find("hello"), std::string::npos) << "no certificate";
-    EXPECT_EQ(heard[2].find("hello"), std::string::npos) << "no TLS";
+    const auto unauthenticated = std::make_shared<boost::asio::ssl::context>(boost::asio::ssl::context::tls_client);
+    const auto greetings = greet(server, { client->current(), unauthenticated, nullptr });
+    EXPECT_EQ(greetings[0], "worker-1: hello entry-1");
+    EXPECT_EQ(greetings[1].find("hello"), std::string::npos) << "no certificate";
+    EXPECT_EQ(greetings[2].find("hello"), std::string::npos) << "no TLS";
 }
 
 TEST_F(Tls, AChangedCertificateIsUsedForNewConnectionsAndABadOneIsNot)
