--- a/coltsfootbend/engine/standin.cpp
+++ b/coltsfootbend/engine/standin.cpp
@@ -23,7 +23,7 @@
     return " t" + std::to_string(index);
 }
 
-std::string eventOf(const json& data) { return "data: " + data.dump() + "\n\n"; }
+std::string toServerSentEvent(const json& data) { return "data: " + data.dump() + "\n\n"; }
 
 http_response jsonResponse(int status, const json& body)
 {
@@ -56,7 +56,7 @@
     if (path == "/v1/chat/completions")
         complete(request, responder);
     else if (path.starts_with("/streams/"))
-        order(path, responder);
+        controlStream(path, responder);
     else if (path == "/standin/runs")
         (void)responder.send(jsonResponse(200, m_runs));
     else
@@ -79,21 +79,21 @@
     }
     const auto prompt = body.at("messages").dump();
     ++m_runs[prompt];
-    const auto asked = body.contains("max_tokens") && body.at("max_tokens").is_number_integer()
+    const auto requestedTokens = body.contains("max_tokens") && body.at("max_tokens").is_number_integer()
         ? body.at("max_tokens").get<int>()
         : defaultTokens;
-    const int tokens = std::clamp(asked, 1, maxTokens);
+    const int tokens = std::clamp(requestedTokens, 1, maxTokens);
     const auto stream = findHeader(request.headers, "X-Request-Id").value_or("");
     const bool isStream = body.contains("stream") && body.at("stream") == true;
     if (isStream)
         (void)responder.begin({ 200, { { "Content-Type", "text/event-stream" } } });
-    std::string whole;
+    std::string answerText;
     for (int i = 0; i < tokens; ++i) {
         waitForStep(stream);
         const auto token = tokenAt(prompt, i);
-        whole += token;
+        answerText += token;
         const json chunk { { "choices", { { { "index", 0 }, { "delta", { { "content", token } } } } } } };
-        if (isStream && !responder.write(eventOf(chunk)))
+        if (isStream && !responder.write(toServerSentEvent(chunk)))
             return;
     }
     if (isStream) {
@@ -101,12 +101,12 @@
         (void)responder.end();
         return;
     }
-    const json message { { "role", "assistant" }, { "content", whole } };
+    const json message { { "role", "assistant" }, { "content", answerText } };
     (void)responder.send(jsonResponse(
         200, { { "object", "chat.completion" }, { "choices", { { { "index", 0 }, { "message", message } } } } }));
 }
 
-void engine_standin::order(const std::string& path, http_responder& responder)
+void engine_standin::controlStream(const std::string& path, http_responder& responder)
 {
     constexpr std::string_view prefix = "/streams/";
     const auto slash = path.rfind('/');
--- a/coltsfootbend/engine/standin.h
+++ b/coltsfootbend/engine/standin.h
@@ -27,7 +27,7 @@
     void handle(const http_request&, http_responder&);
     void complete(const http_request&, http_responder&);
     void echo(const http_request&, http_responder&);
-    void order(const std::string& path, http_responder&);
+    void controlStream(const std::string& path, http_responder&);
     void waitForStep(const std::string& stream);
 
     fiber_runtime& m_runtime;
--- a/coltsfootbend/operators/operator_service.cpp
+++ b/coltsfootbend/operators/operator_service.cpp
@@ -14,7 +14,7 @@
 
 using json = nlohmann::json;
 
-constexpr std::chrono::seconds operationLimit { 5 };
+constexpr std::chrono::seconds operationTimeout { 5 };
 
 int statusOf(const error& error)
 {
@@ -35,9 +35,9 @@
     }
 }
 
-http_response failed(const error& error) { return errorResponse(statusOf(error), error); }
+http_response toErrorResponse(const error& error) { return errorResponse(statusOf(error), error); }
 
-http_response answer(const json& body)
+http_response jsonResponse(const json& body)
 {
     return { { 200, { { "Content-Type", "application/json" } } }, body.dump(2) + "\n" };
 }
@@ -56,11 +56,11 @@
 
 } // namespace
 
-operator_service::operator_service(fiber_runtime& runtime, const daemon_settings& settings, incarnation life,
+operator_service::operator_service(fiber_runtime& runtime, const daemon_settings& settings, incarnation ownIncarnation,
     std::function<tls_context()> tls, std::function<void()> onDrain)
     : m_runtime(runtime)
     , m_settings(settings)
-    , m_life(life)
+    , m_incarnation(ownIncarnation)
     , m_tls(std::move(tls))
     , m_onDrain(std::move(onDrain))
 {
@@ -97,7 +97,7 @@
         return { { 200, { { "Content-Type", "text/plain; version=0.0.4" } } }, m_metrics->text() };
     const auto identity = authenticateOperator(*m_configuration->current(), request);
     if (!identity)
-        return failed(identity.error());
+        return toErrorResponse(identity.error());
     const bool isRead = request.method == "GET";
     if (!isRead && identity->role != operator_role::Editor) {
         logEvent(log_event::OperatorRefused, "actor=" + identity->name + " method=" + request.method);
@@ -114,7 +114,7 @@
         return history(request);
     if (path == "/operator/v1/drain" && request.method == "POST")
         return drain(request, *identity);
-    return failed({ error_kind::NotFound, "there is no such resource", "See docs/operators/API.md" });
+    return toErrorResponse({ error_kind::NotFound, "there is no such resource", "See docs/operators/API.md" });
 }
 
 http_response operator_service::status() const
@@ -132,7 +132,7 @@
             { "deployments", deployments }, { "slots", worker.last.current.slots },
             { "pending_ms", pendingMs(worker.last.current) } });
     }
-    return answer({ { "vm", m_settings.vm.text() }, { "life", m_life.number() },
+    return jsonResponse({ { "vm", m_settings.vm.text() }, { "life", m_incarnation.number() },
         { "data_centre", m_settings.dataCentre.text() }, { "state", m_entry->isLeaving() ? "leaving" : "serving" },
         { "configuration_version", m_configuration->version().number() }, { "in_flight", m_entry->inFlight() },
         { "oldest_request_ms", toMilliseconds(m_entry->oldestRequestAge()) },
@@ -141,17 +141,17 @@
 
 http_response operator_service::showConfiguration() const
 {
-    return answer({ { "version", m_configuration->version().number() },
+    return jsonResponse({ { "version", m_configuration->version().number() },
         { "document", json::parse(m_configuration->state().document(), nullptr, false) } });
 }
 
 http_response operator_service::patchConfiguration(const http_request& request, const operator_identity& identity)
 {
     const auto body = parseJsonInput(request.body).value_or(json());
-    const bool isWhole = body.is_object() && body.contains("against") && body["against"].is_number_unsigned()
+    const bool isComplete = body.is_object() && body.contains("against") && body["against"].is_number_unsigned()
         && body.contains("id") && body["id"].is_string() && body.contains("patch") && body["patch"].is_object();
-    if (!isWhole) {
-        return failed({ error_kind::BadInput, "the body is no patch",
+    if (!isComplete) {
+        return toErrorResponse({ error_kind::BadInput, "the body is no patch",
             "Send {\"against\": VERSION, \"id\": \"UNIQUE TEXT\", \"patch\": {…}}" });
     }
     const auto wallClock = std::chrono::system_clock::now().time_since_epoch();
@@ -161,14 +161,14 @@
         .mergePatch = body["patch"].dump(),
         .acceptedAtMs
         = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(wallClock).count()) };
-    const auto deadline = clock_type::now() + operationLimit;
+    const auto deadline = clock_type::now() + operationTimeout;
     const auto accepted = m_configuration->accept(patch, deadline);
     if (accepted)
-        return answer({ { "version", accepted->number() } });
+        return jsonResponse({ { "version", accepted->number() } });
     if (accepted.error().kind != error_kind::Stale)
-        return failed(accepted.error());
+        return toErrorResponse(accepted.error());
     // The response lists the changes since the stale version, so that the operator can revise the patch against them.
-    auto response = json::parse(failed(accepted.error()).body);
+    auto response = json::parse(toErrorResponse(accepted.error()).body);
     response["changes"] = json::array();
     if (const auto steps = m_configuration->history(config_version(patch.against.number() + 1), deadline)) {
         for (const auto& step : *steps)
@@ -183,38 +183,39 @@
     std::uint64_t first = 0;
     const auto [end, code] = std::from_chars(text.data(), text.data() + text.size(), first);
     if (code != std::errc {} || end != text.data() + text.size())
-        return failed({ error_kind::BadInput, "'from' is no number", "Send ?from=VERSION" });
-    const auto steps = m_configuration->history(config_version(first), clock_type::now() + operationLimit);
+        return toErrorResponse({ error_kind::BadInput, "'from' is no number", "Send ?from=VERSION" });
+    const auto steps = m_configuration->history(config_version(first), clock_type::now() + operationTimeout);
     if (!steps)
-        return failed(steps.error());
+        return toErrorResponse(steps.error());
     json listed = json::array();
     for (const auto& step : *steps)
         listed.push_back(toJson(step));
-    return answer({ { "steps", listed } });
+    return jsonResponse({ { "steps", listed } });
 }
 
 http_response operator_service::drain(const http_request& request, const operator_identity& identity)
 {
     const auto body = parseJsonInput(request.body).value_or(json());
     if (!body.is_object() || !body.contains("vm") || !body["vm"].is_string())
-        return failed({ error_kind::BadInput, "the body names no VM", "Send {\"vm\": \"ID\"}" });
+        return toErrorResponse({ error_kind::BadInput, "the body names no VM", "Send {\"vm\": \"ID\"}" });
     const vm_id vm(body["vm"].get<std::string>());
     logEvent(log_event::OperatorDrain, "vm=" + vm.text() + " actor=" + identity.name);
     if (vm == m_settings.vm) {
         m_onDrain();
-        return answer({ { "draining", vm.text() } });
+        return jsonResponse({ { "draining", vm.text() } });
     }
     const auto& entries = m_settings.entries;
     const auto entry
         = std::find_if(entries.begin(), entries.end(), [&](const peer_settings& known) { return known.id == vm; });
     const auto address = entry != entries.end() ? std::optional<endpoint>(entry->address) : m_entry->addressOf(vm);
     if (!address)
-        return failed({ error_kind::NotFound, "no VM is called '" + vm.text() + "'", "See coltsfootbendctl status" });
+        return toErrorResponse(
+            { error_kind::NotFound, "no VM is called '" + vm.text() + "'", "See coltsfootbendctl status" });
     const auto reply
-        = m_peers->client().ask(*address, wire::drain { identity.name }, clock_type::now() + operationLimit);
+        = m_peers->client().ask(*address, wire::drain { identity.name }, clock_type::now() + operationTimeout);
     if (!reply)
-        return failed(reply.error());
-    return answer({ { "draining", vm.text() } });
+        return toErrorResponse(reply.error());
+    return jsonResponse({ { "draining", vm.text() } });
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/operators/operator_service.h
+++ b/coltsfootbend/operators/operator_service.h
@@ -14,8 +14,8 @@
 class operator_service final : public service {
 public:
     // `onDrain` starts the drain of this process. `tls` is called for each connection; pass none for plain TCP.
-    operator_service(fiber_runtime&, const daemon_settings&, incarnation life, std::function<tls_context()> tls,
-        std::function<void()> onDrain);
+    operator_service(fiber_runtime&, const daemon_settings&, incarnation ownIncarnation,
+        std::function<tls_context()> tls, std::function<void()> onDrain);
 
     std::string_view name() const override { return "operators"; }
     result<void> start(kernel&) override;
@@ -31,7 +31,7 @@
 
     fiber_runtime& m_runtime;
     const daemon_settings& m_settings;
-    const incarnation m_life;
+    const incarnation m_incarnation;
     const std::function<tls_context()> m_tls;
     const std::function<void()> m_onDrain;
     entry_service* m_entry = nullptr;
--- a/coltsfootbend/worker/worker_service.cpp
+++ b/coltsfootbend/worker/worker_service.cpp
@@ -15,13 +15,13 @@
 constexpr std::size_t maxAttempts = 8192;
 constexpr std::size_t maxKeys = 100'000;
 // Number of entries in the worker's own data centre that receive its announcements.
-constexpr std::size_t localTargets = 4;
+constexpr std::size_t localAnnounceTargets = 4;
 constexpr std::chrono::milliseconds localAnnounceInterval { 1000 };
 constexpr std::chrono::milliseconds remoteAnnounceInterval { 5000 };
-constexpr std::chrono::seconds announceLimit { 1 };
+constexpr std::chrono::seconds announceTimeout { 1 };
 constexpr std::chrono::milliseconds expireInterval { 10 };
-constexpr std::chrono::seconds platformLimit { 3 };
-constexpr std::chrono::seconds orderLimit { 1 };
+constexpr std::chrono::seconds platformTimeout { 3 };
+constexpr std::chrono::seconds controlTimeout { 1 };
 constexpr std::size_t bytesPerMessage = std::size_t { 64 } * 1024;
 
 std::uint64_t inMicroseconds(duration value)
@@ -65,13 +65,13 @@
 
 } // namespace
 
-worker_service::worker_service(fiber_runtime& runtime, const daemon_settings& settings, incarnation life)
+worker_service::worker_service(fiber_runtime& runtime, const daemon_settings& settings, incarnation ownIncarnation)
     : m_runtime(runtime)
     , m_settings(settings)
     , m_worker(*settings.worker)
-    , m_life(life)
+    , m_incarnation(ownIncarnation)
     , m_backend(runtime)
-    , m_executor({ .life = life,
+    , m_executor({ .life = ownIncarnation,
           .table = { .maxAttempts = maxAttempts, .maxAnswerBytes = settings.worker->maxAnswerBytes },
           .queue = { .slots = settings.worker->slots, .maxWaiting = settings.worker->maxWaiting },
           .ledger = { .keyLifetime = settings.keyLifetime,
@@ -138,12 +138,12 @@
     }
     performActions();
     streamAnswer(stream, request.attempt, admitted, 0, deadline);
-    forgetIfSettled(request.attempt);
+    removeIfSettled(request.attempt);
 }
 
-void worker_service::onRevoke(peer_stream& stream, const wire::revoke& asked)
+void worker_service::onRevoke(peer_stream& stream, const wire::revoke& request)
 {
-    const auto verdict = m_executor.revoke(clock_type::now(), asked.attempt, asked.workerLife);
+    const auto verdict = m_executor.revoke(clock_type::now(), request.attempt, request.workerLife);
     performActions();
     if (verdict)
         (void)stream.send(wire::revoke_reply { *verdict }, true);
@@ -151,34 +151,35 @@
         (void)stream.send(wire::other_life {}, true);
 }
 
-void worker_service::onJoin(peer_stream& stream, const wire::join& asked)
+void worker_service::onJoin(peer_stream& stream, const wire::join& request)
 {
-    if (asked.workerLife != m_life) {
+    if (request.workerLife != m_incarnation) {
         (void)stream.send(wire::other_life {}, true);
         return;
     }
-    const auto found = m_runs.find(asked.attempt);
+    const auto found = m_runs.find(request.attempt);
     const auto joined = found == m_runs.end() ? nullptr : found->second;
     const auto deadline = joined ? joined->deadline : clock_type::now();
-    streamAnswer(stream, asked.attempt, joined, asked.offset, deadline);
+    streamAnswer(stream, request.attempt, joined, request.offset, deadline);
 }
 
-void worker_service::onCancel(peer_stream& stream, const wire::cancel& asked)
+void worker_service::onCancel(peer_stream& stream, const wire::cancel& request)
 {
-    if (const auto found = m_runs.find(asked.attempt); asked.workerLife == m_life && found != m_runs.end())
+    if (const auto found = m_runs.find(request.attempt); request.workerLife == m_incarnation && found != m_runs.end())
         found->second->cancelled = true;
     (void)stream.send(wire::acknowledge {}, true);
 }
 
-void worker_service::onClaim(peer_stream& stream, const wire::claim& asked)
+void worker_service::onClaim(peer_stream& stream, const wire::claim& request)
 {
-    (void)stream.send(toMessage(m_executor.claim(clock_type::now(), asked.request)), true);
+    (void)stream.send(toMessage(m_executor.claim(clock_type::now(), request.request)), true);
 }
 
-void worker_service::onClose(peer_stream& stream, const wire::close& asked)
+void worker_service::onClose(peer_stream& stream, const wire::close& request)
 {
-    const auto releases = asked.releases.empty() ? std::nullopt : std::optional(asked.releases.front());
-    const auto reply = m_executor.close(clock_type::now(), asked.key, asked.attemptNumber, asked.ticketLife, releases);
+    const auto releases = request.releases.empty() ? std::nullopt : std::optional(request.releases.front());
+    const auto reply
+        = m_executor.close(clock_type::now(), request.key, request.attemptNumber, request.ticketLife, releases);
     (void)stream.send(toMessage(reply), true);
 }
 
@@ -193,7 +194,7 @@
     if (followed)
         followed->waiters.push_back(&changed);
     answer_position position { .headSent = false, .offset = offset };
-    while (sendPieces(stream, attempt, position)) {
+    while (sendAvailablePieces(stream, attempt, position)) {
         if (!followed || !changed.waitUntil(deadline + grace)) {
             stream.reset();
             break;
@@ -205,7 +206,7 @@
 }
 
 // Sends all pieces that are available. Returns whether further pieces are expected.
-bool worker_service::sendPieces(peer_stream& stream, const attempt_id& attempt, answer_position& position)
+bool worker_service::sendAvailablePieces(peer_stream& stream, const attempt_id& attempt, answer_position& position)
 {
     while (true) {
         const auto piece = m_executor.nextPiece(attempt, position);
@@ -219,7 +220,7 @@
     }
 }
 
-void worker_service::wake(const attempt_id& attempt)
+void worker_service::notifyWaiters(const attempt_id& attempt)
 {
     const auto found = m_runs.find(attempt);
     if (found == m_runs.end())
@@ -228,7 +229,7 @@
         waiter->notify();
 }
 
-void worker_service::forgetIfSettled(const attempt_id& attempt)
+void worker_service::removeIfSettled(const attempt_id& attempt)
 {
     answer_position past { .headSent = true, .offset = std::numeric_limits<std::uint64_t>::max() };
     const auto found = m_runs.find(attempt);
@@ -248,9 +249,9 @@
             started->onBackend = true;
             self.m_runtime.spawn([&worker = self, started] { worker.runOnBackend(started); });
         }
-        void operator()(const pause_on_backend& action) const { self.orderBackend(action.attempt, "pause"); }
-        void operator()(const resume_on_backend& action) const { self.orderBackend(action.attempt, "resume"); }
-        void operator()(const answer_changed& action) const { self.wake(action.attempt); }
+        void operator()(const pause_on_backend& action) const { self.controlBackendStream(action.attempt, "pause"); }
+        void operator()(const resume_on_backend& action) const { self.controlBackendStream(action.attempt, "resume"); }
+        void operator()(const answer_changed& action) const { self.notifyWaiters(action.attempt); }
     };
     for (const auto& action : m_executor.takeActions())
         std::visit(visitor { *this }, action);
@@ -293,14 +294,14 @@
             m_executor.backendFailed(clock_type::now(), attempt);
     }
     performActions();
-    forgetIfSettled(attempt);
+    removeIfSettled(attempt);
 }
 
-void worker_service::orderBackend(const attempt_id& attempt, const char* verb)
+void worker_service::controlBackendStream(const attempt_id& attempt, const char* verb)
 {
     m_runtime.spawn([this, target = "/streams/" + nameOf(attempt) + "/" + verb] {
         (void)m_backend.send(m_worker.backend, { .method = "POST", .target = target, .headers = {}, .body = {} },
-            clock_type::now() + orderLimit);
+            clock_type::now() + controlTimeout);
     });
 }
 
@@ -328,7 +329,8 @@
         const bool remoteDue = now >= nextRemote;
         if (remoteDue)
             nextRemote = now + remoteAnnounceInterval;
-        for (const auto& target : chooseAnnounceTargets(m_settings.vm, m_settings.dataCentre, entries, localTargets)) {
+        for (const auto& target :
+            chooseAnnounceTargets(m_settings.vm, m_settings.dataCentre, entries, localAnnounceTargets)) {
             if (!target.isLocal && !remoteDue)
                 continue;
             const auto entry = std::find_if(m_settings.entries.begin(), m_settings.entries.end(),
@@ -339,7 +341,7 @@
     }
 }
 
-void worker_service::announceEverywhere()
+void worker_service::announceToAllEntries()
 {
     for (const auto& entry : m_settings.entries)
         m_runtime.spawn([this, entry] { announceTo(entry, entry.dataCentre == m_settings.dataCentre); });
@@ -349,14 +351,14 @@
 {
     const auto interval = isLocal ? localAnnounceInterval : remoteAnnounceInterval;
     const wire::announce announcement { .worker = m_settings.vm,
-        .life = m_life,
+        .life = m_incarnation,
         .dataCentre = m_settings.dataCentre,
         .address = toString(m_settings.peers),
         .deployments = m_worker.deployments,
         .leaving = m_leaving,
         .current = currentLoad(),
         .nextWithinUs = inMicroseconds(interval) };
-    (void)m_peers->client().ask(entry.address, announcement, clock_type::now() + announceLimit);
+    (void)m_peers->client().ask(entry.address, announcement, clock_type::now() + announceTimeout);
 }
 
 void worker_service::expireLoop()
@@ -372,11 +374,11 @@
 
 void worker_service::registerLedger()
 {
-    std::chrono::milliseconds pause { 100 };
-    constexpr std::chrono::milliseconds longestPause { 5000 };
+    std::chrono::milliseconds backoff { 100 };
+    constexpr std::chrono::milliseconds maxBackoff { 5000 };
     while (!m_stopped && !m_leaving && !tryRegisterLedger()) {
-        m_runtime.sleepFor(pause);
-        pause = std::min(pause * 2, longestPause);
+        m_runtime.sleepFor(backoff);
+        backoff = std::min(backoff * 2, maxBackoff);
     }
 }
 
@@ -385,7 +387,7 @@
     auto& platform = *m_configuration->platform();
     const auto now = clock_type::now();
     const auto registered = coltsfootbend::registerLedger(
-        { platform, platform }, { m_settings.vm, m_life }, m_executor.ledger(), now, now + platformLimit);
+        { platform, platform }, { m_settings.vm, m_incarnation }, m_executor.ledger(), now, now + platformTimeout);
     if (!registered)
         return false;
     logEvent(registered->isComplete ? log_event::LedgerRestored : log_event::LedgerIncomplete,
@@ -399,8 +401,8 @@
         return;
     auto& platform = *m_configuration->platform();
     const auto now = clock_type::now();
-    const auto handedOver = coltsfootbend::handOverLedger({ platform, platform }, { m_settings.vm, m_life },
-        m_executor.ledger(), now, std::min(deadline, now + platformLimit));
+    const auto handedOver = coltsfootbend::handOverLedger({ platform, platform }, { m_settings.vm, m_incarnation },
+        m_executor.ledger(), now, std::min(deadline, now + platformTimeout));
     if (handedOver)
         logEvent(log_event::LedgerHandedOver, "keys=" + std::to_string(*handedOver));
 }
@@ -408,14 +410,14 @@
 void worker_service::leave(time_point deadline)
 {
     m_leaving = true;
-    announceEverywhere();
+    announceToAllEntries();
     m_executor.leave();
     performActions();
     // Hand over the claims first, because the next incarnation may start as soon as this one terminates.
     handOverLedger(deadline);
-    constexpr std::chrono::milliseconds look { 20 };
+    constexpr std::chrono::milliseconds pollInterval { 20 };
     while ((!m_executor.isIdle() || m_openStreams > 0) && clock_type::now() < deadline)
-        m_runtime.sleepFor(look);
+        m_runtime.sleepFor(pollInterval);
     // Stay reachable a little longer, so that messages that entry VMs have already sent are answered with "leaving"
     // instead of timing out.
     m_runtime.sleepFor(std::chrono::milliseconds(200));
--- a/coltsfootbend/worker/worker_service.h
+++ b/coltsfootbend/worker/worker_service.h
@@ -20,7 +20,7 @@
 // Connects the attempt executor with the peers, the backend server and the platform.
 class worker_service final : public service {
 public:
-    worker_service(fiber_runtime&, const daemon_settings&, incarnation life);
+    worker_service(fiber_runtime&, const daemon_settings&, incarnation ownIncarnation);
 
     std::string_view name() const override { return "worker"; }
     result<void> start(kernel&) override;
@@ -47,18 +47,18 @@
     void onClose(peer_stream&, const wire::close&);
 
     void streamAnswer(peer_stream&, const attempt_id&, const run_ptr&, std::uint64_t offset, time_point deadline);
-    bool sendPieces(peer_stream&, const attempt_id&, answer_position&);
+    bool sendAvailablePieces(peer_stream&, const attempt_id&, answer_position&);
     void performActions();
-    void forgetIfSettled(const attempt_id&);
+    void removeIfSettled(const attempt_id&);
     void runOnBackend(const run_ptr&);
-    void orderBackend(const attempt_id&, const char* verb);
+    void controlBackendStream(const attempt_id&, const char* verb);
     static http_request toBackend(const wire::dispatch&);
-    void wake(const attempt_id&);
+    void notifyWaiters(const attempt_id&);
 
     wire::load currentLoad() const;
     void announceLoop();
     void announceTo(const peer_settings&, bool isLocal);
-    void announceEverywhere();
+    void announceToAllEntries();
     void expireLoop();
 
     void registerLedger();
@@ -68,7 +68,7 @@
     fiber_runtime& m_runtime;
     const daemon_settings& m_settings;
     const worker_settings& m_worker;
-    const incarnation m_life;
+    const incarnation m_incarnation;
     peer_service* m_peers = nullptr;
     config_service* m_configuration = nullptr;
     http_client m_backend;
