--- a/coltsfootbend/net/http.cpp
+++ b/coltsfootbend/net/http.cpp
@@ -358,7 +358,7 @@
 void http_client::keep(const endpoint& address, byte_stream_ptr stream)
 {
     auto& idle = m_idle[address];
-    if (idle.size() < m_options.keptPerEndpoint)
+    if (idle.size() < m_options.maxIdlePerEndpoint)
         idle.push_back(std::move(stream));
 }
 
--- a/coltsfootbend/net/http.h
+++ b/coltsfootbend/net/http.h
@@ -118,7 +118,7 @@
 public:
     struct options {
         std::size_t maxBodyBytes = std::size_t { 64 } * 1024 * 1024;
-        std::size_t keptPerEndpoint = 64;
+        std::size_t maxIdlePerEndpoint = 64; // Idle connections that are kept for reuse.
         // Maximum time to connect. TCP retransmits a lost SYN only after seconds, so without this limit a call with a
         // late deadline would keep waiting long after the server is reachable again.
         duration connectLimit = std::chrono::milliseconds(500);
