--- a/coltsfootbend/base/log_event.cpp
+++ b/coltsfootbend/base/log_event.cpp
@@ -72,7 +72,7 @@
         return google::GLOG_ERROR;
     case log_event::StoreLost:
     case log_event::StoreCallFailed:
-    case log_event::StorePollDeaf:
+    case log_event::StorePollStalled:
     case log_event::WorkerSuspected:
     case log_event::BackendCrashed:
     case log_event::RequestQuarantine:
--- a/coltsfootbend/gateway/deployment_watch.cpp
+++ b/coltsfootbend/gateway/deployment_watch.cpp
@@ -129,7 +129,7 @@
             copy.rows.erase(row.key);
             if (name == watched_table::BackendServers)
                 m_directory.remove(backend_id(row.key), clock_type::now());
-            logEvent(log_event::DeploymentRowGone,
+            logEvent(log_event::DeploymentRowRemoved,
                 "table=" + std::string(toString(name)) + " key=" + row.key
                     + " revision=" + std::to_string(row.revision));
             continue;
--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -112,7 +112,7 @@
 {
     while (true) {
         if (m_caller->isDisconnected) {
-            logEvent(log_event::CallerGone, logFields());
+            logEvent(log_event::CallerDisconnected, logFields());
             return;
         }
         const auto now = clock_type::now();
--- a/coltsfootbend/gateway/table_follower.cpp
+++ b/coltsfootbend/gateway/table_follower.cpp
@@ -147,7 +147,7 @@
 {
     if (!m_poll)
         return;
-    logEvent(log_event::StorePollDeaf, tableLabel(m_table));
+    logEvent(log_event::StorePollStalled, tableLabel(m_table));
     cancelPoll();
 }
 
