--- a/coltsfootbend/gateway/backend_connection.cpp
+++ b/coltsfootbend/gateway/backend_connection.cpp
@@ -136,7 +136,7 @@
             break;
         idle.pop_back();
         if (candidate.incarnation == server.life && now < candidate.usableUntil
-            && candidate.connection->isOpenAndQuiet())
+            && candidate.connection->isOpenAndIdle())
             return candidate.connection;
         candidate.connection->close();
     }
--- a/coltsfootbend/gateway/backend_connection.h
+++ b/coltsfootbend/gateway/backend_connection.h
@@ -48,7 +48,7 @@
     // response.
     bool isReusable() const;
     // Returns true while an idle connection is open and the server has sent nothing on it.
-    bool isOpenAndQuiet() const { return m_buffer.size() == 0 && m_stream->isOpenAndQuiet(); }
+    bool isOpenAndIdle() const { return m_buffer.size() == 0 && m_stream->isOpenAndIdle(); }
     // Closes the connection. A call that is in progress in another fiber fails.
     void close() { m_stream->close(); }
 
--- a/coltsfootbend/gateway/response_watchdog_test.cpp
+++ b/coltsfootbend/gateway/response_watchdog_test.cpp
@@ -16,7 +16,7 @@
     bool waitForClose() override { return false; }
     void cancelWait() override { }
     void close() override { isClosed = true; }
-    bool isOpenAndQuiet() override { return !isClosed; }
+    bool isOpenAndIdle() override { return !isClosed; }
 
     bool isClosed = false;
 };
--- a/coltsfootbend/net/byte_stream.cpp
+++ b/coltsfootbend/net/byte_stream.cpp
@@ -69,7 +69,7 @@
         return peek() == peek_result::Closed;
     }
 
-    bool isOpenAndQuiet() override { return peek() == peek_result::Nothing; }
+    bool isOpenAndIdle() override { return peek() == peek_result::Nothing; }
 
     void cancelWait() override
     {
--- a/coltsfootbend/net/byte_stream.h
+++ b/coltsfootbend/net/byte_stream.h
@@ -57,7 +57,7 @@
     virtual void cancelWait() = 0;
     virtual void close() = 0;
     // Returns whether the peer has neither closed the connection nor sent any unread bytes. Does not block.
-    virtual bool isOpenAndQuiet() = 0;
+    virtual bool isOpenAndIdle() = 0;
     // Returns the common name in the subject of the peer's verified certificate; empty without a certificate.
     virtual std::string peerName() const { return {}; }
 
--- a/coltsfootbend/net/http.cpp
+++ b/coltsfootbend/net/http.cpp
@@ -385,7 +385,7 @@
     bool reused = false;
     auto connection = acquireConnection(address, deadline, reused);
     // Discard idle connections that the server has closed, before anything is sent on them.
-    while (connection && reused && !(*connection)->isOpenAndQuiet()) {
+    while (connection && reused && !(*connection)->isOpenAndIdle()) {
         (*connection)->close();
         connection = acquireConnection(address, deadline, reused);
     }
