--- a/coltsfootbend/request/attempt.h
+++ b/coltsfootbend/request/attempt.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The words in which processes speak of one request: the caller's key, each attempt to run it, and where it runs.
-// A caller's request may need several attempts; each attempt is handed to one life of one worker daemon, once.
+// Types that identify one request across processes: the caller's key, each attempt to run it, and where it runs.
+// A caller's request may need several attempts; each attempt is sent once, to one incarnation of one worker daemon.
 
 #include "coltsfootbend/base/id.h"
 
@@ -11,7 +11,8 @@
 
 namespace coltsfootbend {
 
-// One attempt to run a request. Unique for all time: the entry VM's life and a serial that rises within it.
+// Identifies one attempt to run a request. Globally unique and never reused: consists of the entry VM's incarnation and
+// a serial that increases within it.
 struct attempt_id {
     vm_id entry;
     incarnation entryLife;
@@ -20,7 +21,7 @@
     auto operator<=>(const attempt_id&) const = default;
 };
 
-// One life of one worker daemon: the only process that may ever start an attempt addressed to it.
+// Identifies one incarnation of one worker daemon: the only process that may start an attempt addressed to it.
 struct run_place {
     vm_id worker;
     incarnation life;
@@ -28,7 +29,7 @@
     auto operator<=>(const run_place&) const = default;
 };
 
-// A caller's key, which is unique for one customer only.
+// Identifies a caller's request by its idempotency key, which is unique within one customer only.
 struct customer_key {
     customer_id customer;
     request_key key;
@@ -36,14 +37,14 @@
     auto operator<=>(const customer_key&) const = default;
 };
 
-// What a caller is told in the end. The three can be told apart by the `Coltsfootbend-Outcome` header.
+// The final result of a request, which the caller reads from the `Coltsfootbend-Outcome` header.
 enum class outcome {
-    Answer, // The whole answer was delivered.
+    Answer, // The complete answer was delivered.
     NotRun, // Proven: no attempt ran, and none will unless the caller sends the request again.
     Unknown, // It may have run.
 };
 
-// Returns the header value that stands for `value`.
+// Returns the header value for `value`.
 constexpr const char* toString(outcome value)
 {
     switch (value) {
@@ -57,14 +58,14 @@
     return "unknown";
 }
 
-// Why a worker daemon or the flow itself refused.
+// The reason why a worker daemon or the flow refused a request.
 enum class refusal {
     None,
-    NoWorker, // No backend server can take it.
+    NoWorker, // No backend server can take the request.
     QueueFull,
     DeadlineTooClose,
     WorkerLeaving,
-    OtherLife, // The worker daemon that was addressed has been restarted.
+    OtherLife, // The worker daemon was restarted; the addressed incarnation has ended.
     Revoked,
     EngineDown,
     HomeUnreachable,
@@ -72,9 +73,9 @@
     KeyClosed,
     KeyReused,
     RetryBudgetSpent,
-    Lost, // It was sent, and what came of it cannot be learned.
-    AnswerGone, // It ran; the answer is no longer kept.
-    AnswerBroken, // Part of the answer was delivered; the rest cannot be.
+    Lost, // The request was sent and its result cannot be determined.
+    AnswerGone, // The request ran and its answer is no longer stored.
+    AnswerBroken, // Part of the answer was delivered and the rest is unavailable.
     CallerGone,
 };
 
--- a/coltsfootbend/request/attempt_table.cpp
+++ b/coltsfootbend/request/attempt_table.cpp
@@ -11,7 +11,7 @@
 {
 }
 
-bool attempt_table::isForgotten(const attempt_id& attempt) const
+bool attempt_table::isEvicted(const attempt_id& attempt) const
 {
     const auto floor = m_floors.find(attempt.entryLife);
     return floor != m_floors.end() && attempt.serial <= floor->second;
@@ -21,9 +21,9 @@
 {
     if (const auto found = m_answers.find(attempt); found != m_answers.end())
         return found->second.state == attempt_state::Revoked ? admit_verdict::Revoked : admit_verdict::Duplicate;
-    if (isForgotten(attempt))
+    if (isEvicted(attempt))
         return admit_verdict::Forgotten;
-    remember(attempt, attempt_state::Waiting);
+    insert(attempt, attempt_state::Waiting);
     return admit_verdict::Admitted;
 }
 
@@ -58,9 +58,9 @@
 {
     const auto found = m_answers.find(attempt);
     if (found == m_answers.end()) {
-        if (isForgotten(attempt))
+        if (isEvicted(attempt))
             return revoke_verdict::Forgotten;
-        remember(attempt, attempt_state::Revoked);
+        insert(attempt, attempt_state::Revoked);
         return revoke_verdict::Revoked;
     }
     switch (found->second.state) {
@@ -101,7 +101,7 @@
         answer->body.append(bytes);
         answer->totalBytes += bytes.size();
         m_answerBytes += bytes.size();
-        dropOldestBodies();
+        evictOldestBodies();
     }
 }
 
@@ -110,7 +110,7 @@
     if (auto* answer = running(attempt)) {
         answer->state = attempt_state::Finished;
         m_finishedOrder.push_back(attempt);
-        dropOldestBodies();
+        evictOldestBodies();
     }
 }
 
@@ -128,18 +128,18 @@
     return found == m_answers.end() ? nullptr : &found->second;
 }
 
-attempt_answer* attempt_table::remember(const attempt_id& attempt, attempt_state state)
+attempt_answer* attempt_table::insert(const attempt_id& attempt, attempt_state state)
 {
-    forgetSettled();
+    evictSettled();
     m_order.push_back(attempt);
     auto& answer = m_answers[attempt];
     answer.state = state;
     return &answer;
 }
 
-void attempt_table::forgetSettled()
+void attempt_table::evictSettled()
 {
-    // What waits or runs is never forgotten, only passed over: the admission limit keeps those few.
+    // Waiting and running attempts are skipped and never evicted; the admission limit bounds their number.
     for (auto left = m_order.size(); left > 0 && m_answers.size() >= m_maxAttempts; --left) {
         const auto oldest = m_order.front();
         m_order.pop_front();
@@ -161,13 +161,13 @@
     if (!isNew)
         return;
     m_floorOrder.push_back(attempt.entryLife);
-    if (m_floorOrder.size() > maxEntryLives) {
+    if (m_floorOrder.size() > maxEntryIncarnations) {
         m_floors.erase(m_floorOrder.front());
         m_floorOrder.pop_front();
     }
 }
 
-void attempt_table::dropOldestBodies()
+void attempt_table::evictOldestBodies()
 {
     while (m_answerBytes > m_maxAnswerBytes && !m_finishedOrder.empty()) {
         const auto found = m_answers.find(m_finishedOrder.front());
--- a/coltsfootbend/request/attempt_table.h
+++ b/coltsfootbend/request/attempt_table.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// What one life of a worker daemon knows of the attempts addressed to it. It admits each attempt at most once, lets an
-// entry VM revoke one that has not started, and keeps answers so that another entry VM can join one that is being
-// produced. Not a queue: order and limits are `limits/admission_queue.h`.
+// Stores the state of the attempts addressed to one incarnation of a worker daemon. Admits each attempt at most once,
+// lets an entry VM revoke one that has not started, and stores answers so that another entry VM can join one that is
+// still being produced. Not a queue: order and limits are in `limits/admission_queue.h`.
 //
-// Memory is bounded without a clock: when an attempt is forgotten, every attempt of the same entry life with a serial
-// up to it that is not in the table is refused from then on.
+// Memory is bounded without a clock: when an attempt is evicted, every attempt of the same entry incarnation with a
+// serial up to it that is not in the table is refused from then on.
 //
 //     if (table.admit(attempt) == admit_verdict::Admitted)
 //         queue.push(attempt);
-//     table.start(attempt); // just before the engine is given it
+//     table.start(attempt); // just before it is sent to the engine
 
 #include "coltsfootbend/request/attempt.h"
 
@@ -22,44 +22,47 @@
 
 namespace coltsfootbend {
 
+// The state of an attempt at its worker daemon.
 enum class attempt_state {
-    Waiting, // Admitted; the engine has not been given it.
+    Waiting, // Admitted and not yet sent to the engine.
     Running,
-    Finished, // The whole answer is here, or was until its memory was needed.
-    Failed, // The engine was given it and the answer never became whole.
-    Revoked, // It never started and never will.
+    Finished, // The answer is complete; its body may have been evicted since.
+    Failed, // It was sent to the engine and its answer is incomplete.
+    Revoked, // It has not started and never will.
 };
 
+// The result of admitting an attempt.
 enum class admit_verdict {
     Admitted,
-    Duplicate, // Already known; nothing new was started.
+    Duplicate, // Already in the table; no second run was started.
     Revoked,
-    Forgotten, // Older than what the table remembers of this entry life.
+    Forgotten, // Evicted, or older than an evicted attempt of the same entry incarnation.
 };
 
-// What an entry VM is told that asks to revoke an attempt.
+// The result of revoking an attempt.
 enum class revoke_verdict {
-    Revoked, // Proof: it has not started and never will.
+    Revoked, // Proves that it has not started and never will.
     Running,
     Finished,
     Failed,
     Forgotten,
 };
 
-// An attempt's answer so far.
+// Represents an attempt's state and the part of its answer received so far.
 struct attempt_answer {
     attempt_state state = attempt_state::Waiting;
     int status = 0;
     std::string contentType;
     std::string body;
-    // False once the body was dropped to make room.
+    // False once the body was evicted to limit memory.
     bool bodyKept = true;
-    std::uint64_t totalBytes = 0;
-    // Of a revoked attempt: why, and when to come back.
+    std::uint64_t totalBytes = 0; // Size of the body, also after its eviction.
+    // For a revoked attempt: the reason, and when the caller may retry.
     refusal reason = refusal::Revoked;
     std::chrono::milliseconds retryAfter {};
 };
 
+// Represents the attempts of one incarnation of a worker daemon.
 class attempt_table {
 public:
     struct options {
@@ -72,17 +75,18 @@
     // Records `attempt` as waiting unless it was seen or revoked before. O(1) on average.
     admit_verdict admit(const attempt_id&);
 
-    // Marks a waiting attempt as running. Returns false, and then the engine must not be given it, when it is not
-    // waiting (it was revoked meanwhile).
+    // Marks a waiting attempt as running. Returns false when it is not waiting, for example because it was revoked; it
+    // must then not be sent to the engine.
     [[nodiscard]] bool start(const attempt_id&);
 
-    // Takes back `start`. Precondition: nothing of the attempt was given to the engine.
+    // Reverts `start` and marks the attempt as revoked. Precondition: nothing of the attempt was sent to the engine.
     void withdraw(const attempt_id&);
 
-    // As `revoke`, and keeps why. Does nothing to an attempt that has started.
+    // Revokes a waiting attempt and records the reason. Does nothing to an attempt that has started.
     void refuse(const attempt_id&, refusal, std::chrono::milliseconds retryAfter);
 
-    // Proves that `attempt` never starts, or says how far it is. Also records attempts that have not arrived yet.
+    // Revokes `attempt` unless it has started, and returns its state. Also records an attempt that has not arrived yet,
+    // so that it is refused on arrival.
     revoke_verdict revoke(const attempt_id&);
 
     void begin(const attempt_id&, int status, std::string contentType);
@@ -90,29 +94,31 @@
     void finish(const attempt_id&);
     void fail(const attempt_id&);
 
-    // Returns the answer so far, or null when the attempt is not known. Valid until the next call that changes the
-    // table.
+    // Returns the answer so far, or null when the attempt is not in the table. Valid until the next call that changes
+    // the table.
     const attempt_answer* find(const attempt_id&) const;
 
     std::size_t size() const { return m_answers.size(); }
     std::size_t answerBytes() const { return m_answerBytes; }
 
 private:
-    static constexpr std::size_t maxEntryLives = 4096;
+    // Number of entry incarnations for which the highest evicted serial is stored; bounds `m_floors`.
+    static constexpr std::size_t maxEntryIncarnations = 4096;
 
-    bool isForgotten(const attempt_id&) const;
-    attempt_answer* remember(const attempt_id&, attempt_state);
+    bool isEvicted(const attempt_id&) const;
+    attempt_answer* insert(const attempt_id&, attempt_state);
     attempt_answer* running(const attempt_id&);
-    void forgetSettled();
-    void dropOldestBodies();
+    void evictSettled();
+    void evictOldestBodies();
     void raiseFloor(const attempt_id&);
 
     const std::size_t m_maxAttempts;
     const std::size_t m_maxAnswerBytes;
     std::size_t m_answerBytes = 0;
     std::unordered_map<attempt_id, attempt_answer> m_answers;
-    std::deque<attempt_id> m_order; // Oldest first; the candidates for being forgotten.
-    std::deque<attempt_id> m_finishedOrder; // Oldest first; the candidates for losing their body.
+    std::deque<attempt_id> m_order; // Candidates for eviction, oldest first.
+    std::deque<attempt_id> m_finishedOrder; // Candidates for eviction of their body, oldest first.
+    // Highest evicted serial of each entry incarnation.
     std::unordered_map<incarnation, std::uint64_t> m_floors;
     std::deque<incarnation> m_floorOrder;
 };
--- a/coltsfootbend/request/attempt_table_test.cpp
+++ b/coltsfootbend/request/attempt_table_test.cpp
@@ -10,8 +10,8 @@
 
 attempt_id attempt(std::uint64_t serial) { return { vm_id("e"), incarnation(1), serial }; }
 
-// Random operations on a table so small that it forgets often: whatever the order, an attempt starts at most once, and
-// never after a revoke was confirmed.
+// Applies random operations to a table that is small enough to evict often. In any order, an attempt must start at most
+// once, and never after a confirmed revoke.
 RC_GTEST_PROP(AttemptTable, StartsNoAttemptTwiceAndNoneThatWasRevoked, ())
 {
     attempt_table table({ .maxAttempts = 4, .maxAnswerBytes = 64 });
--- a/coltsfootbend/request/claim_ledger.cpp
+++ b/coltsfootbend/request/claim_ledger.cpp
@@ -29,20 +29,20 @@
     : m_keyLifetime(options.keyLifetime)
     , m_maxKeys(options.maxKeys)
     , m_completeFrom(options.completeFrom)
-    , m_life(options.life)
+    , m_incarnation(options.life)
     , m_granting(!options.waitForRegistration)
 {
 }
 
-bool claim_ledger::knowsAllOf(time_point now, incarnation ticketLife) const
+bool claim_ledger::isCompleteFor(time_point now, incarnation ticketLife) const
 {
     if (ticketLife.isNone())
         return isComplete(now);
-    // Only the life that a ticket names can have granted it, so time does not matter.
-    return ticketLife == m_life || ticketLife == m_inheritedFrom;
+    // Only the incarnation that a ticket names can have granted it, so the age of the ledger does not matter.
+    return ticketLife == m_incarnation || ticketLife == m_predecessor;
 }
 
-std::optional<claim_verdict> claim_ledger::objection(
+std::optional<claim_verdict> claim_ledger::findRefusal(
     time_point now, const record* known, const claim_request& request) const
 {
     if (m_leaving)
@@ -50,8 +50,8 @@
     if (!m_granting)
         return claim_verdict::CannotRuleOut;
     if (!known) {
-        // The caller's word that this is its first attempt rules out an earlier grant as well as memory does.
-        if (!knowsAllOf(now, request.ticketLife) && request.attemptNumber != 1)
+        // Attempt number 1 excludes an earlier grant as reliably as a complete ledger does.
+        if (!isCompleteFor(now, request.ticketLife) && request.attemptNumber != 1)
             return claim_verdict::CannotRuleOut;
         if (m_records.size() >= m_maxKeys)
             return claim_verdict::LedgerFull;
@@ -70,15 +70,15 @@
 
 claim_reply claim_ledger::claim(time_point now, const claim_request& request)
 {
-    forgetExpired(now);
+    removeExpired(now);
     const auto found = m_records.find(request.key);
     const record* known = found == m_records.end() ? nullptr : &found->second;
-    if (const auto verdict = objection(now, known, request)) {
+    if (const auto verdict = findRefusal(now, known, request)) {
         if (*verdict == claim_verdict::AlreadyClaimed)
             return { *verdict, known->holder };
         return { *verdict, std::nullopt };
     }
-    auto& granted = touch(now, request.key);
+    auto& granted = renew(now, request.key);
     granted.holder = claim_holder { request.attempt, request.place };
     granted.bodyHash = request.bodyHash;
     return { claim_verdict::Granted, granted.holder };
@@ -89,26 +89,26 @@
     const auto found = m_records.find(key);
     if (found == m_records.end() || !found->second.holder || found->second.holder->attempt != attempt)
         return;
-    // The record stays: a closed attempt number must outlive the grant.
+    // The record remains, because a closed attempt number must outlive the grant.
     found->second.holder.reset();
 }
 
 claim_reply claim_ledger::close(
     time_point now, const customer_key& key, std::uint32_t attemptNumber, incarnation ticketLife)
 {
-    forgetExpired(now);
+    removeExpired(now);
     if (m_leaving)
         return { claim_verdict::Leaving, std::nullopt };
     const auto found = m_records.find(key);
     if (found == m_records.end()) {
-        if (!knowsAllOf(now, ticketLife) || !m_granting)
+        if (!isCompleteFor(now, ticketLife) || !m_granting)
             return { claim_verdict::CannotRuleOut, std::nullopt };
         if (m_records.size() >= m_maxKeys)
             return { claim_verdict::LedgerFull, std::nullopt };
     } else if (found->second.holder) {
         return { claim_verdict::AlreadyClaimed, found->second.holder };
     }
-    auto& closed = touch(now, key);
+    auto& closed = renew(now, key);
     closed.closedThrough = std::max(closed.closedThrough, attemptNumber);
     closed.closed = closed.closed || attemptNumber == 0;
     return { claim_verdict::Granted, std::nullopt };
@@ -117,7 +117,7 @@
 std::vector<claim_snapshot_row> claim_ledger::handOver(time_point now)
 {
     m_leaving = true;
-    forgetExpired(now);
+    removeExpired(now);
     std::vector<claim_snapshot_row> rows;
     rows.reserve(m_records.size());
     for (const auto& [key, known] : m_records) {
@@ -133,9 +133,9 @@
 
 void claim_ledger::restore(time_point now, const std::vector<claim_snapshot_row>& rows, incarnation from)
 {
-    m_inheritedFrom = from;
+    m_predecessor = from;
     for (const auto& row : rows) {
-        // A key that this life already granted is newer than the snapshot's word on it.
+        // A grant of this incarnation is newer than the snapshot.
         if (m_records.contains(row.key))
             continue;
         auto& known = m_records[row.key];
@@ -143,14 +143,14 @@
         known.closedThrough = row.closedThrough;
         known.closed = row.closed;
         known.bodyHash = row.bodyHash;
-        // A full lifetime, not what was left: the time between the two lives is not known.
+        // Uses a full lifetime instead of the remaining one, because the time between the two incarnations is unknown.
         known.expiresAt = now + m_keyLifetime;
         m_expiries.push_back({ known.expiresAt, row.key });
     }
     m_completeFrom = std::min(m_completeFrom, now);
 }
 
-claim_ledger::record& claim_ledger::touch(time_point now, const customer_key& key)
+claim_ledger::record& claim_ledger::renew(time_point now, const customer_key& key)
 {
     auto& known = m_records[key];
     known.expiresAt = now + m_keyLifetime;
@@ -158,11 +158,11 @@
     return known;
 }
 
-void claim_ledger::forgetExpired(time_point now)
+void claim_ledger::removeExpired(time_point now)
 {
     while (!m_expiries.empty() && m_expiries.front().at <= now) {
         const auto found = m_records.find(m_expiries.front().key);
-        // A key touched again has a later deadline and a later place in the queue.
+        // A renewed key has a later expiry and another entry further back in the queue.
         if (found != m_records.end() && found->second.expiresAt <= now)
             m_records.erase(found);
         m_expiries.pop_front();
--- a/coltsfootbend/request/claim_ledger_test.cpp
+++ b/coltsfootbend/request/claim_ledger_test.cpp
@@ -25,7 +25,7 @@
 {
     return { .keyLifetime = 10min, .maxKeys = 3, .completeFrom = start, .life = incarnation(1) };
 }
-claim_ledger::options young()
+claim_ledger::options incomplete()
 {
     return { .keyLifetime = 10min, .maxKeys = 3, .completeFrom = start + 10min, .life = incarnation(1) };
 }
@@ -50,7 +50,8 @@
     auto right = claimOf(3);
     right.replaces = attempt(1);
     EXPECT_EQ(ledger.claim(start, right).verdict, claim_verdict::Granted);
-    EXPECT_EQ(ledger.claim(start, claimOf(1)).verdict, claim_verdict::AlreadyClaimed) << "a late copy of the first";
+    EXPECT_EQ(ledger.claim(start, claimOf(1)).verdict, claim_verdict::AlreadyClaimed)
+        << "a delayed copy of the first claim";
 }
 
 TEST(ClaimLedger, RefusesAnotherBodyUnderTheSameKey)
@@ -62,25 +63,27 @@
     EXPECT_EQ(ledger.claim(start, other).verdict, claim_verdict::BodyMismatch);
 }
 
-TEST(ClaimLedger, AYoungLedgerRefusesWhatItCannotRuleOut)
+TEST(ClaimLedger, AnIncompleteLedgerRefusesKeysThatMayBeGranted)
 {
-    claim_ledger ledger(young());
+    claim_ledger ledger(incomplete());
     EXPECT_EQ(ledger.claim(start, claimOf(1)).verdict, claim_verdict::CannotRuleOut);
     EXPECT_EQ(ledger.claim(start, claimOf(1, 2)).verdict, claim_verdict::CannotRuleOut);
-    EXPECT_EQ(ledger.claim(start, claimOf(1, 1)).verdict, claim_verdict::Granted) << "the caller says it is the first";
+    EXPECT_EQ(ledger.claim(start, claimOf(1, 1)).verdict, claim_verdict::Granted)
+        << "the caller numbers it as its first attempt";
     EXPECT_EQ(ledger.close(start, { key.customer, request_key("other") }, 2).verdict, claim_verdict::CannotRuleOut);
 }
 
-TEST(ClaimLedger, AYoungLedgerGrantsTicketsThatNameItsOwnLifeOnly)
+TEST(ClaimLedger, AnIncompleteLedgerGrantsOnlyTicketsOfItsOwnIncarnation)
 {
-    claim_ledger ledger(young());
+    claim_ledger ledger(incomplete());
     auto own = claimOf(1);
     own.ticketLife = incarnation(1);
     EXPECT_EQ(ledger.claim(start, own).verdict, claim_verdict::Granted);
     auto former = claimOf(2);
     former.key.key = request_key("former");
     former.ticketLife = incarnation(9);
-    EXPECT_EQ(ledger.claim(start + 1h, former).verdict, claim_verdict::CannotRuleOut) << "at no time";
+    EXPECT_EQ(ledger.claim(start + 1h, former).verdict, claim_verdict::CannotRuleOut)
+        << "independent of the age of the ledger";
     ledger.restore(start + 1h, {}, incarnation(9));
     EXPECT_EQ(ledger.claim(start + 1h, former).verdict, claim_verdict::Granted) << "after its hand-over";
 }
@@ -97,7 +100,7 @@
     EXPECT_EQ(ledger.close(start, key, 3).verdict, claim_verdict::Granted);
 }
 
-TEST(ClaimLedger, AFullLedgerRefusesRatherThanForgets)
+TEST(ClaimLedger, AFullLedgerRefusesNewKeysAndEvictsNone)
 {
     claim_ledger ledger(complete());
     for (int i = 0; i < 3; ++i) {
@@ -115,7 +118,7 @@
     (void)former.claim(start, claimOf(1));
     const auto rows = former.handOver(start);
     EXPECT_EQ(former.claim(start, claimOf(1)).verdict, claim_verdict::Leaving);
-    claim_ledger next(young());
+    claim_ledger next(incomplete());
     next.restore(start, rows);
     EXPECT_EQ(next.claim(start, claimOf(2)).verdict, claim_verdict::AlreadyClaimed);
     auto fresh = claimOf(3);
--- a/coltsfootbend/request/request_flow.cpp
+++ b/coltsfootbend/request/request_flow.cpp
@@ -7,7 +7,9 @@
 
 namespace {
 
+// Number of times a claim without reply is sent before the home counts as unreachable.
 constexpr int maxClaimTries = 3;
+// Bounds how often one request joins an answer again after lost bytes.
 constexpr int maxJoins = 16;
 
 } // namespace
@@ -24,7 +26,7 @@
 std::vector<flow_action> request_flow::handle(time_point now, const flow_event& event)
 {
     m_actions.clear();
-    // Operation 0 is the caller's side; any other number must be the operation that is under way.
+    // Operation 0 marks events of the caller and the timer; any other number must be the current operation.
     if (m_state == state::Done || (event.operation != 0 && event.operation != m_operation))
         return {};
     std::visit([&](const auto& what) { on(now, what); }, event.what);
@@ -52,7 +54,7 @@
     }
     ++m_attempts;
     m_attempt = m_services.attempts.nextAttempt();
-    m_attemptIsOurs = true;
+    m_isOwnAttempt = true;
     m_place = *place;
     if (m_request.key)
         claim(now);
@@ -88,7 +90,7 @@
     case claim_verdict::AlreadyClaimed:
         m_attempt = event.reply.holder->attempt;
         m_place = event.reply.holder->place;
-        m_attemptIsOurs = false;
+        m_isOwnAttempt = false;
         settle(now);
         return;
     case claim_verdict::Closed:
@@ -98,8 +100,8 @@
         finish(outcome::Unknown, refusal::KeyReused);
         return;
     case claim_verdict::CannotRuleOut:
-        // Coming back later with the same key would only be safe before the key's lifetime is over, which the home's
-        // silence outlasts: no hint to do so.
+        // A later retry with the same key would be safe only within the key's lifetime, and the home remains undecided
+        // for longer than that. Therefore no retry is suggested.
         finish(outcome::Unknown, refusal::HomeCannotRuleOut);
         return;
     case claim_verdict::LedgerFull:
@@ -120,11 +122,11 @@
 {
     if (m_state != state::Dispatching)
         return;
-    retryElsewhere(now, event.reason, event.retryAfter);
+    retryOnOtherWorker(now, event.reason, event.retryAfter);
 }
 
 // Precondition: the attempt is proven never to start, or the request may be repeated.
-void request_flow::retryElsewhere(time_point now, refusal reason, std::chrono::milliseconds retryAfter)
+void request_flow::retryOnOtherWorker(time_point now, refusal reason, std::chrono::milliseconds retryAfter)
 {
     m_tried.push_back(m_place.worker);
     m_refusal = reason;
@@ -147,7 +149,7 @@
 {
     switch (m_state) {
     case state::Claiming:
-        // Claims are idempotent, so a lost one is simply sent again.
+        // Claims are idempotent, so a lost one is sent again.
         if (m_claimTries < maxClaimTries && now < m_request.deadline - m_limits.settleMargin)
             claim(now);
         else
@@ -155,16 +157,16 @@
         return;
     case state::Dispatching:
         if (event.nothingSent) {
-            retryElsewhere(now, refusal::EngineDown, {});
+            retryOnOtherWorker(now, refusal::EngineDown, {});
         } else if (mayRepeat()) {
-            repeatElsewhere(now, refusal::Lost);
+            repeatOnOtherWorker(now, refusal::Lost);
         } else {
             settle(now);
         }
         return;
     case state::Streaming:
         if (mayRepeat())
-            repeatElsewhere(now, refusal::Lost);
+            repeatOnOtherWorker(now, refusal::Lost);
         else
             settle(now);
         return;
@@ -180,10 +182,10 @@
     }
 }
 
-void request_flow::repeatElsewhere(time_point now, refusal reason)
+void request_flow::repeatOnOtherWorker(time_point now, refusal reason)
 {
-    m_unproven = true;
-    retryElsewhere(now, reason, {});
+    m_mayHaveRun = true;
+    retryOnOtherWorker(now, reason, {});
 }
 
 void request_flow::on(time_point now, const attempt_failed&)
@@ -191,12 +193,12 @@
     if (m_state != state::Dispatching && m_state != state::Streaming)
         return;
     if (mayRepeat())
-        repeatElsewhere(now, refusal::EngineDown);
+        repeatOnOtherWorker(now, refusal::EngineDown);
     else
         finish(outcome::Unknown, m_headForwarded ? refusal::AnswerBroken : refusal::EngineDown);
 }
 
-// Asks the worker daemon for proof that the attempt never starts, or for how far it is.
+// Revokes the attempt at its worker daemon, which replies that it never starts or reports its state.
 void request_flow::settle(time_point now)
 {
     m_state = state::Revoking;
@@ -207,14 +209,14 @@
 
 void request_flow::retrySettle(time_point now)
 {
-    // An answer that cannot come before the deadline is given at once as what it is.
+    // No reply can arrive before the deadline, so the outcome is reported at once.
     if (now + m_settleBackoff >= m_request.deadline) {
         finish(outcome::Unknown, refusal::Lost, m_limits.retryAfter, m_request.key.has_value());
         return;
     }
     m_timer = now + m_settleBackoff;
     m_settleBackoff *= 2;
-    ++m_operation; // Whatever still comes of the lost revoke is not waited for.
+    ++m_operation; // A late reply to the lost revoke is ignored.
 }
 
 void request_flow::on(time_point now, const revoke_answered& event)
@@ -223,11 +225,11 @@
         return;
     switch (event.verdict) {
     case revoke_verdict::Revoked:
-        if (m_attemptIsOurs) {
-            retryElsewhere(now, refusal::Lost, m_limits.retryAfter);
+        if (m_isOwnAttempt) {
+            retryOnOtherWorker(now, refusal::Lost, m_limits.retryAfter);
             return;
         }
-        // Another entry VM's attempt held the key and now never starts: ours takes its place.
+        // The attempt of another entry VM held the key and now never starts; an attempt of this flow replaces it.
         m_replaces = m_attempt;
         startAttempt(now);
         return;
@@ -247,10 +249,11 @@
 void request_flow::on(time_point now, const other_life_answered&)
 {
     if (mayRepeat()) {
-        repeatElsewhere(now, refusal::OtherLife);
+        repeatOnOtherWorker(now, refusal::OtherLife);
         return;
     }
-    // What the former life did died with it. Asking longer cannot change that, so the caller is told at once.
+    // The state of the attempt was lost with the earlier incarnation. Further revokes cannot recover it, so the outcome
+    // is reported at once.
     finish(outcome::Unknown, m_headForwarded ? refusal::AnswerBroken : refusal::OtherLife);
 }
 
@@ -282,7 +285,7 @@
     if (m_state != state::Streaming)
         return;
     if (event.offset > m_forwarded) {
-        // A gap: bytes were lost on the way, so the rest is asked for again from where the caller is.
+        // Bytes were lost in transit; requests the rest again from the caller's position.
         join(now);
         return;
     }
@@ -337,7 +340,7 @@
 
 void request_flow::on(time_point, const caller_gone&)
 {
-    // A keyed attempt goes on, for the caller may come back and join it; any other is revoked if it still waits.
+    // A keyed attempt continues, because the caller may retry and join it. Any other is revoked if it is still waiting.
     if (m_state == state::Dispatching && !m_request.key)
         send(send_revoke { .attempt = m_attempt, .place = m_place });
     if (m_state == state::Streaming && !m_request.key && m_request.idempotent)
@@ -345,22 +348,23 @@
     finish(outcome::Unknown, refusal::CallerGone);
 }
 
-// Every attempt of ours is proven never to start, unless `m_unproven` says otherwise. What can the caller be told?
+// Ends a request whose attempts are all proven never to start, unless `m_mayHaveRun` is set. Reports "not run" only if
+// no earlier attempt of the caller can run either.
 void request_flow::refuse(time_point now, refusal reason, std::chrono::milliseconds retryAfter)
 {
     m_refusal = reason;
     m_retryAfter = retryAfter.count() > 0 ? retryAfter : m_limits.retryAfter;
-    if (m_unproven) {
+    if (m_mayHaveRun) {
         finish(outcome::Unknown, reason, m_retryAfter);
         return;
     }
-    // Without a key there are no other attempts than ours; with the caller's word that this is its first, neither.
+    // A request without a key, or with attempt number 1, has no attempts besides those of this flow.
     if (!m_request.key || m_request.attemptNumber == 1) {
         finish(outcome::NotRun, reason, m_retryAfter, m_request.key.has_value());
         return;
     }
-    const bool homeAnswers = reason != refusal::HomeUnreachable;
-    if (m_request.attemptNumber > 1 && homeAnswers) {
+    const bool isHomeReachable = reason != refusal::HomeUnreachable;
+    if (m_request.attemptNumber > 1 && isHomeReachable) {
         m_state = state::Closing;
         m_timer = std::max(now, m_request.deadline - m_limits.settleMargin / 4);
         send(send_close { .home = m_home,
@@ -370,7 +374,7 @@
             .releases = m_replaces });
         return;
     }
-    // An earlier attempt of an uncounted caller may still be on its way to the home: "not run" would be a guess.
+    // Without attempt numbers, an earlier attempt may still be in transit to the home, so "not run" is not proven.
     finish(outcome::Unknown, reason, m_retryAfter, true);
 }
 
--- a/coltsfootbend/request/request_flow.h
+++ b/coltsfootbend/request/request_flow.h
@@ -1,9 +1,10 @@
 #pragma once
 
-// The life of one caller's request inside an entry VM, as a deterministic state machine: it takes the time and one
-// typed event and returns typed actions. It claims the caller's key, dispatches attempts, settles lost ones by revoke
-// or join, retries only what may be retried, and ends in exactly one outcome. No clock, socket or random source inside:
-// a driver performs the actions and feeds back what came of them. Not for requests between our own processes.
+// Implements the handling of one caller's request inside an entry VM as a deterministic state machine: it takes the
+// time and one typed event and returns typed actions. It claims the caller's key, dispatches attempts, settles lost
+// ones by revoke or join, retries only what may be retried, and ends in exactly one outcome. Uses no clock, socket or
+// random source: a driver performs the actions and feeds their results back. Not for requests between processes of the
+// project.
 //
 //     request_flow flow(request, { chooser, permit, attempts }, home);
 //     auto actions = flow.handle(now, { 0, caller_started {} });
@@ -22,11 +23,11 @@
 
 namespace coltsfootbend {
 
-// What the flow needs to know of the caller's request.
+// The properties of a caller's request that the flow depends on.
 struct flow_request {
     customer_id customer;
     std::optional<request_key> key {};
-    // The life that the key names when it is a ticket.
+    // The incarnation that the key names when it is a ticket; none otherwise.
     incarnation ticketLife {};
     std::uint32_t attemptNumber = 0;
     std::uint64_t bodyHash = 0;
@@ -34,28 +35,28 @@
     time_point deadline {};
 };
 
-// Picks where the next attempt goes. `tried` holds the workers that refused or failed this request.
+// Chooses the worker of the next attempt. `tried` lists the workers that refused or failed this request.
 class worker_chooser {
 public:
     virtual ~worker_chooser() = default;
     virtual std::optional<run_place> choose(time_point now, const std::vector<vm_id>& tried) = 0;
 };
 
-// Says whether one more retry is within the retry budget, and takes it from the budget if so.
+// Grants retries: `takeRetry` returns whether one more is within the retry budget, and deducts it if so.
 class retry_permit {
 public:
     virtual ~retry_permit() = default;
     virtual bool takeRetry(time_point now) = 0;
 };
 
-// Makes attempt ids with serials that rise.
+// Generates attempt ids with increasing serials.
 class attempt_source {
 public:
     virtual ~attempt_source() = default;
     virtual attempt_id nextAttempt() = 0;
 };
 
-// Actions. Each that expects a result carries the operation number that the result must name.
+// Actions. Each action that has a result carries the operation number that the result must name.
 struct send_claim {
     std::uint64_t operation = 0;
     vm_id home;
@@ -85,7 +86,8 @@
     incarnation ticketLife;
     std::optional<attempt_id> releases;
 };
-// Nobody waits for this attempt any more, and it may be run again: its backend server need not go on. No result comes.
+// Cancels an attempt whose answer is no longer needed and which may be run again, so that its backend server can stop.
+// Has no result.
 struct send_cancel {
     attempt_id attempt;
     run_place place;
@@ -97,25 +99,26 @@
 struct forward_bytes {
     std::string bytes;
 };
+// Ends the request. `result` and `reason` are reported to the caller.
 struct finish_request {
     outcome result = outcome::Unknown;
     refusal reason = refusal::None;
-    // When the caller should come back; zero when coming back does not help.
+    // Delay after which the caller may retry; zero when a retry does not help.
     std::chrono::milliseconds retryAfter {};
-    // The caller may send the same key again: it will run at most once.
+    // Whether the caller may retry with the same key; the request still runs at most once.
     bool sameKeyMayRetry = false;
 };
 using flow_action = std::variant<send_claim, send_dispatch, send_revoke, send_join, send_close, send_cancel,
     forward_head, forward_bytes, finish_request>;
 
-// Events.
+// Events of the caller's connection, of the timer and of operations.
 struct caller_started { };
 struct caller_gone { };
 struct timer_fired { };
 struct claim_answered {
     claim_reply reply;
 };
-// The request never left (`nothingSent`) or its answer never came.
+// The operation's request was not sent (`nothingSent`), or no reply was received.
 struct operation_lost {
     bool nothingSent = false;
 };
@@ -123,7 +126,7 @@
     refusal reason = refusal::None;
     std::chrono::milliseconds retryAfter {};
 };
-// It was started, and its answer will never be whole.
+// The attempt was started, and its answer cannot be completed.
 struct attempt_failed { };
 struct answer_head {
     int status = 0;
@@ -139,11 +142,12 @@
 struct revoke_answered {
     revoke_verdict verdict = revoke_verdict::Forgotten;
 };
-// The worker daemon that was asked is another life: the former one can never answer.
+// The worker daemon was restarted; the addressed incarnation has ended and cannot reply.
 struct other_life_answered { };
 struct close_answered {
     claim_reply reply;
 };
+// One event; `operation` is 0 for events that belong to no operation.
 struct flow_event {
     std::uint64_t operation = 0;
     std::variant<caller_started, caller_gone, timer_fired, claim_answered, operation_lost, attempt_refused,
@@ -151,6 +155,7 @@
         what;
 };
 
+// Represents the state of one caller's request.
 class request_flow {
 public:
     struct services {
@@ -159,20 +164,23 @@
         attempt_source& attempts;
     };
     struct limits {
-        // How long before the caller's deadline an undecided attempt is revoked, so that proof arrives in time.
+        // How long before the caller's deadline an undecided attempt is revoked, so that the reply arrives in time.
         duration settleMargin = std::chrono::milliseconds(100);
+        // First backoff between revokes of one attempt; doubles with each retry.
         duration firstSettleRetry = std::chrono::milliseconds(10);
+        // Retry delay reported to the caller when no worker daemon named one.
         std::chrono::milliseconds retryAfter { 500 };
+        // Bounds the load that one request causes while workers refuse it.
         int maxAttempts = 4;
     };
 
-    // `home` holds the key's claims; it is not used when the request has no key.
+    // `home` stores the key's claims; it is unused when the request has no key.
     request_flow(flow_request, services, vm_id home, limits);
 
-    // Takes one event and returns what to do now, in order. Events of operations that were given up are ignored.
+    // Handles one event and returns the actions to perform, in order. Events of abandoned operations are ignored.
     std::vector<flow_action> handle(time_point now, const flow_event&);
 
-    // When `timer_fired` is next due.
+    // Returns when `timer_fired` is next due.
     time_point nextDeadline() const { return m_timer; }
     bool isDone() const { return m_state == state::Done; }
 
@@ -194,14 +202,14 @@
     void on(time_point, const close_answered&);
 
     bool mayRepeat() const { return m_request.idempotent && !m_request.key && !m_headForwarded; }
-    void repeatElsewhere(time_point, refusal);
+    void repeatOnOtherWorker(time_point, refusal);
     void startAttempt(time_point);
     void claim(time_point);
     void dispatch(time_point);
     void settle(time_point);
     void retrySettle(time_point);
     void join(time_point);
-    void retryElsewhere(time_point, refusal, std::chrono::milliseconds retryAfter);
+    void retryOnOtherWorker(time_point, refusal, std::chrono::milliseconds retryAfter);
     void refuse(time_point, refusal, std::chrono::milliseconds retryAfter = {});
     void finish(outcome, refusal, std::chrono::milliseconds retryAfter = {}, bool sameKey = false);
     template <typename Action> void send(Action);
@@ -217,17 +225,17 @@
     time_point m_timer {};
     duration m_settleBackoff {};
 
-    // The attempt that is being tried or settled; ours, or the one that holds the key.
+    // The attempt in progress: an attempt of this flow, or the one that holds the key.
     attempt_id m_attempt;
     run_place m_place;
-    bool m_attemptIsOurs = false;
-    // The attempt that holds our key at its home, proven never to start.
+    bool m_isOwnAttempt = false;
+    // The attempt that holds the key at its home and is proven never to start, if any.
     std::optional<attempt_id> m_replaces;
     std::vector<vm_id> m_tried;
     int m_attempts = 0;
     int m_claimTries = 0;
     int m_joins = 0;
-    bool m_unproven = false; // Some attempt may have run.
+    bool m_mayHaveRun = false; // True once an attempt may have run.
     bool m_headForwarded = false;
     std::uint64_t m_forwarded = 0;
     refusal m_refusal = refusal::None;
--- a/coltsfootbend/request/request_flow_test.cpp
+++ b/coltsfootbend/request/request_flow_test.cpp
@@ -11,7 +11,7 @@
 
 const time_point start = time_point {} + 1h;
 
-// Writes down a whole session: every event that the flow is given and every action that it takes.
+// Records a session as text: every event that the flow receives and every action that it returns.
 class session final : private worker_chooser, private retry_permit, private attempt_source {
 public:
     explicit session(const std::string& title, flow_request request)
@@ -20,11 +20,11 @@
         m_trace << "# " << title << "\n";
     }
 
-    session& say(duration at, const std::string& words, std::uint64_t operation, decltype(flow_event::what) what)
+    session& receive(duration at, const std::string& label, std::uint64_t operation, decltype(flow_event::what) what)
     {
-        m_trace << std::chrono::duration_cast<std::chrono::milliseconds>(at).count() << " ms  -> " << words << "\n";
+        m_trace << std::chrono::duration_cast<std::chrono::milliseconds>(at).count() << " ms  -> " << label << "\n";
         for (const auto& action : m_flow.handle(start + at, { operation, std::move(what) }))
-            std::visit([this](const auto& taken) { write(taken); }, action);
+            std::visit([this](const auto& recorded) { write(recorded); }, action);
         return *this;
     }
 
@@ -112,112 +112,112 @@
 {
     std::string all;
     all += session("a keyed request is claimed, run and answered", keyed())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(2ms, "granted", 1, granted())
-               .say(4ms, "head", 2, answer_head { 200, "text/plain" })
-               .say(6ms, "bytes 0", 2, answer_bytes { 0, "who" })
-               .say(8ms, "bytes 3", 2, answer_bytes { 3, "le" })
-               .say(9ms, "end 5", 2, answer_end { 5 })
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(2ms, "granted", 1, granted())
+               .receive(4ms, "head", 2, answer_head { 200, "text/plain" })
+               .receive(6ms, "bytes 0", 2, answer_bytes { 0, "who" })
+               .receive(8ms, "bytes 3", 2, answer_bytes { 3, "le" })
+               .receive(9ms, "end 5", 2, answer_end { 5 })
                .end();
     all += session("bytes that come twice or late are put right, and a gap is asked for again", unkeyed())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(2ms, "head", 1, answer_head { 200, "text/plain" })
-               .say(3ms, "bytes 0", 1, answer_bytes { 0, "abc" })
-               .say(4ms, "bytes 1 again", 1, answer_bytes { 1, "bcd" })
-               .say(5ms, "bytes 9, with a gap", 1, answer_bytes { 9, "xyz" })
-               .say(6ms, "a late piece of the given-up stream", 1, answer_bytes { 4, "???" })
-               .say(8ms, "bytes 4 of the join", 2, answer_bytes { 4, "ef" })
-               .say(9ms, "end 6", 2, answer_end { 6 })
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(2ms, "head", 1, answer_head { 200, "text/plain" })
+               .receive(3ms, "bytes 0", 1, answer_bytes { 0, "abc" })
+               .receive(4ms, "bytes 1 again", 1, answer_bytes { 1, "bcd" })
+               .receive(5ms, "bytes 9, with a gap", 1, answer_bytes { 9, "xyz" })
+               .receive(6ms, "a late piece of the given-up stream", 1, answer_bytes { 4, "???" })
+               .receive(8ms, "bytes 4 of the join", 2, answer_bytes { 4, "ef" })
+               .receive(9ms, "end 6", 2, answer_end { 6 })
                .end();
     all += session("a lost attempt that never started runs elsewhere, once", keyed())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(2ms, "granted", 1, granted())
-               .say(30ms, "the stream broke", 2, operation_lost {})
-               .say(32ms, "revoked", 3, revoke_answered { revoke_verdict::Revoked })
-               .say(34ms, "granted", 4, granted())
-               .say(36ms, "head", 5, answer_head { 200, "" })
-               .say(37ms, "end 0", 5, answer_end { 0 })
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(2ms, "granted", 1, granted())
+               .receive(30ms, "the stream broke", 2, operation_lost {})
+               .receive(32ms, "revoked", 3, revoke_answered { revoke_verdict::Revoked })
+               .receive(34ms, "granted", 4, granted())
+               .receive(36ms, "head", 5, answer_head { 200, "" })
+               .receive(37ms, "end 0", 5, answer_end { 0 })
                .end();
     all += session("a retry joins the attempt that another entry VM started", keyed(2))
-               .say(0ms, "caller", 0, caller_started {})
-               .say(2ms, "taken by 40", 1, takenBy(40))
-               .say(4ms, "it runs", 2, revoke_answered { revoke_verdict::Running })
-               .say(6ms, "head", 3, answer_head { 200, "" })
-               .say(7ms, "bytes 0", 3, answer_bytes { 0, "all" })
-               .say(8ms, "end 3", 3, answer_end { 3 })
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(2ms, "taken by 40", 1, takenBy(40))
+               .receive(4ms, "it runs", 2, revoke_answered { revoke_verdict::Running })
+               .receive(6ms, "head", 3, answer_head { 200, "" })
+               .receive(7ms, "bytes 0", 3, answer_bytes { 0, "all" })
+               .receive(8ms, "end 3", 3, answer_end { 3 })
                .end();
     all += session("a retry takes over from an attempt that never started", keyed(2))
-               .say(0ms, "caller", 0, caller_started {})
-               .say(2ms, "taken by 40", 1, takenBy(40))
-               .say(4ms, "revoked", 2, revoke_answered { revoke_verdict::Revoked })
-               .say(6ms, "granted", 3, granted())
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(2ms, "taken by 40", 1, takenBy(40))
+               .receive(4ms, "revoked", 2, revoke_answered { revoke_verdict::Revoked })
+               .receive(6ms, "granted", 3, granted())
                .end();
     all += session("a restarted worker daemon proves nothing", unkeyed())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(30ms, "the stream broke", 1, operation_lost {})
-               .say(32ms, "another life answers", 2, other_life_answered {})
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(30ms, "the stream broke", 1, operation_lost {})
+               .receive(32ms, "another life answers", 2, other_life_answered {})
                .end();
     all += session("a request that may be repeated is, without asking", repeatable())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(30ms, "the stream broke", 1, operation_lost {})
-               .say(32ms, "head", 2, answer_head { 200, "" })
-               .say(33ms, "end 0", 2, answer_end { 0 })
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(30ms, "the stream broke", 1, operation_lost {})
+               .receive(32ms, "head", 2, answer_head { 200, "" })
+               .receive(33ms, "end 0", 2, answer_end { 0 })
                .end();
     all += session("once part of an answer is out, a repeat would not fit", repeatable())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(2ms, "head", 1, answer_head { 200, "" })
-               .say(3ms, "bytes 0", 1, answer_bytes { 0, "abc" })
-               .say(4ms, "the engine failed", 1, attempt_failed {})
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(2ms, "head", 1, answer_head { 200, "" })
+               .receive(3ms, "bytes 0", 1, answer_bytes { 0, "abc" })
+               .receive(4ms, "the engine failed", 1, attempt_failed {})
                .end();
     all += session("every worker refuses: not run, and when to come back", unkeyed())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(2ms, "refused", 1, attempt_refused { refusal::QueueFull, 700ms })
-               .say(4ms, "refused", 2, attempt_refused { refusal::QueueFull, 800ms })
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(2ms, "refused", 1, attempt_refused { refusal::QueueFull, 700ms })
+               .receive(4ms, "refused", 2, attempt_refused { refusal::QueueFull, 800ms })
                .end();
     all += session("an uncounted key that is refused: an earlier attempt may still be on its way", keyed())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(2ms, "granted", 1, granted())
-               .say(4ms, "refused", 2, attempt_refused { refusal::QueueFull, 700ms })
-               .say(6ms, "granted", 3, granted())
-               .say(8ms, "refused", 4, attempt_refused { refusal::QueueFull, 700ms })
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(2ms, "granted", 1, granted())
+               .receive(4ms, "refused", 2, attempt_refused { refusal::QueueFull, 700ms })
+               .receive(6ms, "granted", 3, granted())
+               .receive(8ms, "refused", 4, attempt_refused { refusal::QueueFull, 700ms })
                .end();
     all += session("a counted second attempt is closed at the home before it is called not run", keyed(2))
-               .say(0ms, "caller", 0, caller_started {})
-               .say(2ms, "granted", 1, granted())
-               .say(4ms, "refused", 2, attempt_refused { refusal::QueueFull, 700ms })
-               .say(6ms, "granted", 3, granted())
-               .say(8ms, "refused", 4, attempt_refused { refusal::QueueFull, 700ms })
-               .say(9ms, "closed", 5, close_answered { { claim_verdict::Granted, std::nullopt } })
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(2ms, "granted", 1, granted())
+               .receive(4ms, "refused", 2, attempt_refused { refusal::QueueFull, 700ms })
+               .receive(6ms, "granted", 3, granted())
+               .receive(8ms, "refused", 4, attempt_refused { refusal::QueueFull, 700ms })
+               .receive(9ms, "closed", 5, close_answered { { claim_verdict::Granted, std::nullopt } })
                .end();
     all += session("an unreachable home: a first attempt is known not to have run", keyed(1))
-               .say(0ms, "caller", 0, caller_started {})
-               .say(1ms, "no connection", 1, operation_lost { true })
-               .say(2ms, "no connection", 2, operation_lost { true })
-               .say(3ms, "no connection", 3, operation_lost { true })
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(1ms, "no connection", 1, operation_lost { true })
+               .receive(2ms, "no connection", 2, operation_lost { true })
+               .receive(3ms, "no connection", 3, operation_lost { true })
                .end();
     all += session("a young home cannot rule out that it ran", keyed())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(2ms, "cannot rule out", 1, claim_answered { { claim_verdict::CannotRuleOut, std::nullopt } })
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(2ms, "cannot rule out", 1, claim_answered { { claim_verdict::CannotRuleOut, std::nullopt } })
                .end();
     all += session("an undecided attempt is settled before the deadline, and then told as it is", unkeyed())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(1900ms, "timer", 0, timer_fired {})
-               .say(1950ms, "timer", 0, timer_fired {})
-               .say(2000ms, "timer", 0, timer_fired {})
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(1900ms, "timer", 0, timer_fired {})
+               .receive(1950ms, "timer", 0, timer_fired {})
+               .receive(2000ms, "timer", 0, timer_fired {})
                .end();
     all += session("a caller that goes away takes its waiting request along", unkeyed())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(5ms, "caller gone", 0, caller_gone {})
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(5ms, "caller gone", 0, caller_gone {})
                .end();
     all += session("an answer that nobody reads any more is cancelled if it may be repeated", repeatable())
-               .say(0ms, "caller", 0, caller_started {})
-               .say(2ms, "head", 1, answer_head { 200, "" })
-               .say(5ms, "caller gone", 0, caller_gone {})
+               .receive(0ms, "caller", 0, caller_started {})
+               .receive(2ms, "head", 1, answer_head { 200, "" })
+               .receive(5ms, "caller gone", 0, caller_gone {})
                .end();
     return all;
 }
 
-TEST(RequestFlow, SessionsAreAsWrittenInTheGoldenFile)
+TEST(RequestFlow, SessionsMatchTheGoldenFile)
 {
     const std::string path = COLTSFOOTBEND_SOURCE_DIR "/coltsfootbend/request/testdata/request_flow.golden";
     const auto actual = allSessions();
@@ -227,24 +227,25 @@
     std::ostringstream expected;
     expected << file.rdbuf();
     EXPECT_EQ(actual, expected.str())
-        << "after a wanted change, run with COLTSFOOTBEND_REWRITE_GOLDEN=1 and read the diff";
+        << "after an intended change, run with COLTSFOOTBEND_REWRITE_GOLDEN=1 and read the diff";
 }
 
 TEST(RequestFlow, RetriesStayWithinTheBudget)
 {
     session spent("budget", unkeyed());
     spent.retriesLeft = false;
-    spent.say(0ms, "caller", 0, caller_started {}).say(2ms, "refused", 1, attempt_refused { refusal::QueueFull, 10ms });
+    spent.receive(0ms, "caller", 0, caller_started {})
+        .receive(2ms, "refused", 1, attempt_refused { refusal::QueueFull, 10ms });
     EXPECT_NE(spent.end().find("not-run (retry_budget_spent)"), std::string::npos);
 }
 
-TEST(RequestFlow, GivesUpAfterItsMostAttempts)
+TEST(RequestFlow, StopsAfterTheMaximumNumberOfAttempts)
 {
     session many("many workers", unkeyed());
     many.workers = 100;
-    many.say(0ms, "caller", 0, caller_started {});
+    many.receive(0ms, "caller", 0, caller_started {});
     for (std::uint64_t operation = 1; operation <= 4; ++operation)
-        many.say(1ms, "refused", operation, attempt_refused { refusal::QueueFull, 10ms });
+        many.receive(1ms, "refused", operation, attempt_refused { refusal::QueueFull, 10ms });
     EXPECT_NE(many.end().find("done"), std::string::npos);
 }
 
--- a/coltsfootbend/request/ticket.h
+++ b/coltsfootbend/request/ticket.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// A ticket is an idempotency key that an entry VM hands out ahead of use. It names the worker daemon, and the one life
-// of it, that keeps its claim, so that nobody else could ever grant it: such a key needs no knowledge of former lives,
-// and the holder is in the data centre where the caller is. Callers may always send keys of their own instead.
+// A ticket is an idempotency key that an entry VM issues ahead of use. It names the worker daemon, and its incarnation,
+// that stores its claim. Only this incarnation can grant it, so a ticket is usable without the claims of earlier
+// incarnations, and its holder is in the caller's data centre. Callers may always send keys of their own instead.
 //
 //     request_key key = makeTicket({ worker, life }, random());
 //     if (auto ticket = parseTicket(key)) home = ticket->worker;
@@ -13,11 +13,11 @@
 
 namespace coltsfootbend {
 
-// Returns a key that names `holder`. `nonce` must not repeat for one life of a holder: 64 random bits will do.
+// Returns a key that names `holder`. `nonce` must not repeat for one incarnation of a holder; 64 random bits suffice.
 request_key makeTicket(const run_place& holder, std::uint64_t nonce);
 
-// Returns the holder that a ticket names, or none when `key` is a caller's own. Every process reads a key in the same
-// way, so one that merely looks like a ticket is treated as one by all. O(length).
+// Returns the holder that a ticket names, or none when the caller chose the key. All processes parse a key in the same
+// way, so a caller's key in the form of a ticket is treated as a ticket everywhere. O(length).
 std::optional<run_place> parseTicket(const request_key&);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/request/ticket_test.cpp
+++ b/coltsfootbend/request/ticket_test.cpp
@@ -12,14 +12,14 @@
     RC_ASSERT(parseTicket(makeTicket(holder, nonce)) == holder);
 }
 
-RC_GTEST_PROP(Ticket, AnyTextIsReadOrRefused, (const std::string& text))
+RC_GTEST_PROP(Ticket, ParsesOrRefusesAnyText, (const std::string& text))
 {
     (void)parseTicket(request_key(text));
     (void)parseTicket(request_key("ticket~" + text));
     RC_ASSERT(!parseTicket(request_key("key-" + text)));
 }
 
-TEST(Ticket, RefusesWhatIsNotWhole)
+TEST(Ticket, RefusesIncompleteTickets)
 {
     for (const char* text : { "ticket~", "ticket~w", "ticket~w~1", "ticket~~1~2", "ticket~w~0~2", "ticket~w~xyz~2" })
         EXPECT_FALSE(parseTicket(request_key(text))) << text;
