--- a/coltsfootbend/execution/attempt_executor.cpp
+++ b/coltsfootbend/execution/attempt_executor.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 attempt_executor::attempt_executor(const options& options)
-    : m_life(options.life)
+    : m_incarnation(options.life)
     , m_table(options.table)
     , m_queue(options.queue)
     , m_ledger([&] {
@@ -26,7 +26,7 @@
 std::optional<answer_piece> attempt_executor::dispatch(
     time_point now, const admission_job& job, incarnation addressedTo)
 {
-    if (addressedTo != m_life)
+    if (addressedTo != m_incarnation)
         return refused_piece { refusal::OtherLife, {} };
     switch (m_table.admit(job.attempt)) {
     case admit_verdict::Admitted:
@@ -36,7 +36,7 @@
         return refused_piece {};
     case admit_verdict::Duplicate:
     case admit_verdict::Forgotten:
-        // An attempt is sent once; whatever this is, it proves nothing about the first copy.
+        // Each attempt is sent once. A second copy gives no information about whether the first one ran.
         return failed_piece {};
     }
     return failed_piece {};
@@ -45,7 +45,7 @@
 std::optional<revoke_verdict> attempt_executor::revoke(
     time_point now, const attempt_id& attempt, incarnation addressedTo)
 {
-    if (addressedTo != m_life)
+    if (addressedTo != m_incarnation)
         return std::nullopt;
     const auto verdict = m_table.revoke(attempt);
     if (verdict == revoke_verdict::Revoked) {
@@ -113,7 +113,7 @@
     for (const auto& decision : decisions) {
         switch (decision.verb) {
         case admission_verb::Start:
-            // Revoked in the meantime: the slot is free for the next.
+            // If the attempt was revoked in the meantime, its slot is free for the next one.
             if (m_table.start(decision.attempt))
                 m_actions.emplace_back(start_on_backend { decision.attempt });
             else
--- a/coltsfootbend/execution/ledger_registration.cpp
+++ b/coltsfootbend/execution/ledger_registration.cpp
@@ -13,11 +13,11 @@
 
 row_name rowOf(const vm_id& worker) { return { "claims", worker.text() }; }
 
-// What the row says of the life that wrote it last.
+// The row's content: the incarnation that wrote it last, and its hand-over.
 struct registration {
     std::uint64_t revision = 0;
     incarnation life;
-    std::string handedOver; // The object with its keys; empty while it serves.
+    std::string handedOver; // Name of the object with its keys; empty until a planned stop.
 };
 
 result<registration> readRegistration(table_service& table, const vm_id& worker, time_point deadline)
@@ -48,17 +48,17 @@
 result<ledger_registered> registerLedger(
     ledger_platform platform, const ledger_identity& self, claim_ledger& ledger, time_point now, time_point deadline)
 {
-    const auto former = readRegistration(platform.table, self.worker, deadline);
-    if (!former)
-        return tl::unexpected(former.error());
-    if (former->life == self.life) {
-        // The answer to an earlier try was lost, and with it whether there was a hand-over.
+    const auto previous = readRegistration(platform.table, self.worker, deadline);
+    if (!previous)
+        return tl::unexpected(previous.error());
+    if (previous->life == self.life) {
+        // The reply to an earlier try was lost, so it is unknown whether the previous incarnation handed its keys over.
         ledger.allowGrants();
         return ledger_registered {};
     }
     std::vector<claim_snapshot_row> rows;
-    if (!former->handedOver.empty()) {
-        const auto bytes = platform.objects.get(former->handedOver, deadline);
+    if (!previous->handedOver.empty()) {
+        const auto bytes = platform.objects.get(previous->handedOver, deadline);
         if (!bytes)
             return tl::unexpected(bytes.error());
         auto decoded = wire::decodeLedger(*bytes);
@@ -67,12 +67,12 @@
         rows = std::move(*decoded);
     }
     const auto written = platform.table.write(
-        rowOf(self.worker), encodeRegistration({ 0, self.life, {} }), former->revision, deadline);
+        rowOf(self.worker), encodeRegistration({ 0, self.life, {} }), previous->revision, deadline);
     if (!written)
         return tl::unexpected(written.error());
-    const bool isComplete = former->revision == 0 || !former->handedOver.empty();
+    const bool isComplete = previous->revision == 0 || !previous->handedOver.empty();
     if (isComplete)
-        ledger.restore(now, rows, former->life);
+        ledger.restore(now, rows, previous->life);
     ledger.allowGrants();
     return ledger_registered { isComplete, rows.size() };
 }
@@ -80,14 +80,14 @@
 result<std::size_t> handOverLedger(
     ledger_platform platform, const ledger_identity& self, claim_ledger& ledger, time_point now, time_point deadline)
 {
-    // First of all nothing more may be granted: what is written below must be everything.
+    // Granting must stop first, so that the keys written below are complete.
     const auto rows = ledger.handOver(now);
     const auto current = readRegistration(platform.table, self.worker, deadline);
     if (!current)
         return tl::unexpected(current.error());
     if (current->life != self.life)
         return fail(error_kind::Stale, "this life is not registered", "Nothing is to be done: it granted no key");
-    // A ledger that does not know everything itself must not make its successor believe that it does.
+    // Handing over an incomplete ledger would make the successor treat it as complete.
     if (!ledger.isComplete(now))
         return fail(error_kind::Unavailable, "the ledger is not complete", "The next life waits for one key lifetime");
     const auto object = "claims/" + self.worker.text() + "-" + std::to_string(self.life.number());
--- a/coltsfootbend/execution/ledger_registration_test.cpp
+++ b/coltsfootbend/execution/ledger_registration_test.cpp
@@ -14,7 +14,7 @@
 
 class LedgerRegistration : public testing::Test { // NOLINT(readability-identifier-naming)
 protected:
-    claim_ledger young(std::uint64_t life) const
+    claim_ledger newLedger(std::uint64_t life) const
     {
         return claim_ledger({ .keyLifetime = 10min,
             .maxKeys = 10,
@@ -22,7 +22,7 @@
             .life = incarnation(life),
             .waitForRegistration = true });
     }
-    result<ledger_registered> enter(claim_ledger& ledger, std::uint64_t life)
+    result<ledger_registered> registerIncarnation(claim_ledger& ledger, std::uint64_t life)
     {
         return registerLedger({ m_platform, m_platform }, { worker, incarnation(life) }, ledger, start, start);
     }
@@ -44,66 +44,67 @@
     memory_platform m_platform;
 };
 
-TEST_F(LedgerRegistration, GrantsNothingBeforeThePlatformKnowsThisLife)
+TEST_F(LedgerRegistration, GrantsNothingBeforeThisIncarnationIsRegistered)
 {
-    auto ledger = young(1);
+    auto ledger = newLedger(1);
     m_platform.setFaults({ .down = true });
-    EXPECT_FALSE(enter(ledger, 1));
+    EXPECT_FALSE(registerIncarnation(ledger, 1));
     EXPECT_EQ(claim(ledger, "k"), claim_verdict::CannotRuleOut);
     m_platform.setFaults({});
-    EXPECT_TRUE(enter(ledger, 1)->isComplete) << "the first life ever knows everything";
+    EXPECT_TRUE(registerIncarnation(ledger, 1)->isComplete)
+        << "the first incarnation has no predecessor, so its ledger is complete";
     EXPECT_EQ(claim(ledger, "k"), claim_verdict::Granted);
 }
 
-TEST_F(LedgerRegistration, APlannedRestartForgetsNoKey)
+TEST_F(LedgerRegistration, APlannedRestartLosesNoKey)
 {
-    auto first = young(1);
-    ASSERT_TRUE(enter(first, 1));
+    auto first = newLedger(1);
+    ASSERT_TRUE(registerIncarnation(first, 1));
     ASSERT_EQ(claim(first, "k"), claim_verdict::Granted);
     ASSERT_EQ(leave(first, 1), std::size_t { 1 });
-    auto second = young(2);
-    EXPECT_TRUE(enter(second, 2)->isComplete);
+    auto second = newLedger(2);
+    EXPECT_TRUE(registerIncarnation(second, 2)->isComplete);
     EXPECT_EQ(claim(second, "k", 2), claim_verdict::AlreadyClaimed);
     EXPECT_EQ(claim(second, "fresh"), claim_verdict::Granted);
 }
 
 TEST_F(LedgerRegistration, AHandOverIsUsedOnceOnly)
 {
-    auto first = young(1);
-    ASSERT_TRUE(enter(first, 1));
+    auto first = newLedger(1);
+    ASSERT_TRUE(registerIncarnation(first, 1));
     ASSERT_TRUE(leave(first, 1));
-    auto second = young(2);
-    ASSERT_TRUE(enter(second, 2));
+    auto second = newLedger(2);
+    ASSERT_TRUE(registerIncarnation(second, 2));
     ASSERT_EQ(claim(second, "k"), claim_verdict::Granted);
-    // The second life dies without a word; what the first one left is out of date.
-    auto third = young(3);
-    EXPECT_FALSE(enter(third, 3)->isComplete);
+    // The second incarnation crashes without a hand-over, so the keys of the first one are outdated.
+    auto third = newLedger(3);
+    EXPECT_FALSE(registerIncarnation(third, 3)->isComplete);
     EXPECT_EQ(claim(third, "k", 2), claim_verdict::CannotRuleOut);
 }
 
 TEST_F(LedgerRegistration, ALostAnswerLeavesTheLedgerIncomplete)
 {
-    auto first = young(1);
-    ASSERT_TRUE(enter(first, 1));
+    auto first = newLedger(1);
+    ASSERT_TRUE(registerIncarnation(first, 1));
     ASSERT_EQ(claim(first, "k"), claim_verdict::Granted);
     ASSERT_TRUE(leave(first, 1));
-    auto second = young(2);
+    auto second = newLedger(2);
     m_platform.setFaults({ .loseNextAnswers = 1 });
-    EXPECT_FALSE(enter(second, 2));
+    EXPECT_FALSE(registerIncarnation(second, 2));
     EXPECT_EQ(claim(second, "k", 2), claim_verdict::CannotRuleOut);
-    EXPECT_FALSE(enter(second, 2)->isComplete);
+    EXPECT_FALSE(registerIncarnation(second, 2)->isComplete);
     EXPECT_EQ(claim(second, "k", 2), claim_verdict::CannotRuleOut);
 }
 
 TEST_F(LedgerRegistration, AnIncompleteLedgerDoesNotHandOver)
 {
-    auto first = young(1);
-    ASSERT_TRUE(enter(first, 1));
-    auto second = young(2); // The first died.
-    ASSERT_FALSE(enter(second, 2)->isComplete);
+    auto first = newLedger(1);
+    ASSERT_TRUE(registerIncarnation(first, 1));
+    auto second = newLedger(2); // The first incarnation crashed.
+    ASSERT_FALSE(registerIncarnation(second, 2)->isComplete);
     EXPECT_FALSE(leave(second, 2));
-    auto third = young(3);
-    EXPECT_FALSE(enter(third, 3)->isComplete);
+    auto third = newLedger(3);
+    EXPECT_FALSE(registerIncarnation(third, 3)->isComplete);
 }
 
 } // namespace
