--- a/coltsfootbend/membership/worker_directory.cpp
+++ b/coltsfootbend/membership/worker_directory.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-constexpr std::size_t formerLivesKept = 8;
+// Number of replaced incarnations of a worker whose late announcements are recognised.
+constexpr std::size_t maxFormerIncarnations = 8;
 
 } // namespace
 
@@ -17,21 +18,22 @@
 {
     const auto [found, isNew] = m_workers.try_emplace(announcement.worker);
     auto& worker = found->second;
-    const auto& former = worker.formerLives;
-    if (std::find(former.begin(), former.end(), announcement.life) != former.end())
+    const auto& earlier = worker.formerIncarnations;
+    if (std::find(earlier.begin(), earlier.end(), announcement.life) != earlier.end())
         return false;
-    const bool isNewLife = !isNew && worker.last.life != announcement.life;
-    if (isNewLife) {
-        worker.formerLives.push_back(worker.last.life);
-        if (worker.formerLives.size() > formerLivesKept)
-            worker.formerLives.pop_front();
+    const bool isNewIncarnation = !isNew && worker.last.life != announcement.life;
+    if (isNewIncarnation) {
+        worker.formerIncarnations.push_back(worker.last.life);
+        if (worker.formerIncarnations.size() > maxFormerIncarnations)
+            worker.formerIncarnations.pop_front();
     }
-    const bool wasLeaving = !isNew && !isNewLife && worker.last.leaving;
+    const bool wasLeaving = !isNew && !isNewIncarnation && worker.last.leaving;
     const bool wasSuspected = !isNew && now >= worker.suspectAt;
-    const bool changed = isNew || isNewLife || wasSuspected || wasLeaving != announcement.leaving
+    const bool changed = isNew || isNewIncarnation || wasSuspected || wasLeaving != announcement.leaving
         || worker.last.deployments != announcement.deployments;
     worker.last = announcement;
-    // Leaving is for good in one life: announcements may overtake each other.
+    // An incarnation that leaves never returns. Announcements may arrive out of order, so a later one without the flag
+    // is outdated.
     worker.last.leaving = announcement.leaving || wasLeaving;
     const std::chrono::microseconds interval(announcement.nextWithinUs);
     worker.suspectAt = now + interval * m_options.suspectAfterMissed;
--- a/coltsfootbend/membership/worker_directory.h
+++ b/coltsfootbend/membership/worker_directory.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// The worker daemons that announce themselves to one entry VM, and what it believes of each. A worker's own word wins:
-// its newest life replaces the former, "leaving" stops new work at once, and silence first slows and then stops it.
-// Deterministic; only silence depends on time, and silence decides where new work goes, never what is safe.
+// Tracks the worker daemons that announce themselves to one entry VM, and their estimated state. Announcements take
+// precedence: the newest incarnation of a worker replaces the previous one, and "leaving" stops new work at once.
+// Missed announcements first make a worker suspected and then remove it. Deterministic; only missed announcements
+// depend on time, and they affect only where new work is routed, never the at-most-once guarantee.
 //
 //     worker_directory directory({ .own = data_centre_id("ist-1") });
 //     directory.observe(now, announcement);
@@ -17,22 +18,25 @@
 
 namespace coltsfootbend {
 
+// Represents a worker daemon by its last announcement.
 struct known_worker {
     wire::announce last;
-    time_point suspectAt {};
-    time_point forgetAt {};
-    bool suspected = false; // As `expire` last saw it.
-    // Lives that were replaced; a late announcement of one is ignored.
-    std::deque<incarnation> formerLives;
+    time_point suspectAt {}; // When the worker becomes suspected unless it announces itself again.
+    time_point forgetAt {}; // When the worker is removed unless it announces itself again.
+    bool suspected = false; // State at the last call of `expire`.
+    // Replaced incarnations; a late announcement from one of them is ignored.
+    std::deque<incarnation> formerIncarnations;
 };
 
+// Represents the workers known to one entry VM.
 class worker_directory {
 public:
     struct options {
-        // How many announcements in a row may be missed before a worker is suspected, and before it is forgotten.
+        // Number of consecutive missed announcements after which a worker is suspected, and after which it is removed.
         int suspectAfterMissed = 3;
         int forgetAfterMissed = 30;
-        // Workers elsewhere are used only when none here can take a request.
+        // This entry VM's data centre. Workers of other data centres are used only when no local one can take a
+        // request.
         data_centre_id own;
     };
 
@@ -41,12 +45,12 @@
     {
     }
 
-    // Takes one announcement. Returns whether who is there, or whether it takes work, changed.
+    // Records one announcement. Returns whether the set of workers, or the work that one of them accepts, changed.
     bool observe(time_point now, const wire::announce&);
 
-    // Suspects workers that have been silent, and drops those that have been for long.
+    // Marks workers that missed announcements as suspected, and removes those that missed `forgetAfterMissed`.
     struct expired {
-        // Whether the answer of `workersOf` has changed.
+        // Whether the result of `workersOf` has changed.
         bool changed = false;
         std::vector<vm_id> newlySuspected;
     };
@@ -63,13 +67,14 @@
     std::map<vm_id, known_worker> m_workers;
 };
 
-// Which entry VMs a worker daemon announces itself to: some of its own data centre often, and one of each other data
-// centre seldom, so that every entry VM routes to a bounded number of workers and every worker is known by several.
-// Both sides need no agreement: whoever is announced to routes.
+// Represents an entry VM that a worker daemon announces itself to.
 struct announce_target {
     vm_id entry;
     bool isLocal = false;
 };
+// Chooses the entry VMs that a worker daemon announces itself to: `localTargets` of its own data centre and one of each
+// other data centre, so that every entry VM routes to a bounded number of workers and every worker is known to several
+// entry VMs. Needs no coordination: an entry VM routes to the workers whose announcements it receives.
 std::vector<announce_target> chooseAnnounceTargets(const vm_id& worker, const data_centre_id& own,
     const std::vector<std::pair<vm_id, data_centre_id>>& entries, std::size_t localTargets);
 
--- a/coltsfootbend/membership/worker_directory_test.cpp
+++ b/coltsfootbend/membership/worker_directory_test.cpp
@@ -10,7 +10,7 @@
 
 const time_point start = time_point {} + 1h;
 
-wire::announce word(std::uint64_t life, bool leaving = false)
+wire::announce announceFrom(std::uint64_t life, bool leaving = false)
 {
     wire::announce announcement;
     announcement.worker = vm_id("w");
@@ -27,34 +27,34 @@
     worker_directory m_directory { { .own = data_centre_id("here") } };
 };
 
-TEST_F(WorkerDirectory, SilenceIsSuspiciousAfterThreeMissedAnnouncementsAndForgottenAfterThirty)
+TEST_F(WorkerDirectory, SuspectsAWorkerAfterThreeMissedAnnouncementsAndRemovesItAfterThirty)
 {
-    EXPECT_TRUE(m_directory.observe(start, word(1)));
+    EXPECT_TRUE(m_directory.observe(start, announceFrom(1)));
     EXPECT_FALSE(only(start + 2900ms).suspected);
     EXPECT_TRUE(only(start + 3s).suspected);
     EXPECT_EQ(m_directory.expire(start + 3s).newlySuspected, std::vector<vm_id> { vm_id("w") });
-    EXPECT_TRUE(m_directory.expire(start + 3s).newlySuspected.empty()) << "once is enough";
-    EXPECT_TRUE(m_directory.observe(start + 4s, word(1))) << "its word ends the suspicion";
+    EXPECT_TRUE(m_directory.expire(start + 3s).newlySuspected.empty()) << "each suspicion is reported once";
+    EXPECT_TRUE(m_directory.observe(start + 4s, announceFrom(1))) << "an announcement ends the suspicion";
     EXPECT_FALSE(only(start + 4s).suspected);
     EXPECT_TRUE(m_directory.expire(start + 34s).changed);
     EXPECT_TRUE(m_directory.workers().empty());
 }
 
-TEST_F(WorkerDirectory, ALateWordOfAFormerLifeIsIgnored)
+TEST_F(WorkerDirectory, IgnoresALateAnnouncementOfAnEarlierIncarnation)
 {
-    (void)m_directory.observe(start, word(1));
-    EXPECT_TRUE(m_directory.observe(start, word(2)));
-    EXPECT_FALSE(m_directory.observe(start + 1s, word(1)));
+    (void)m_directory.observe(start, announceFrom(1));
+    EXPECT_TRUE(m_directory.observe(start, announceFrom(2)));
+    EXPECT_FALSE(m_directory.observe(start + 1s, announceFrom(1)));
     EXPECT_EQ(only(start + 1s).place.life, incarnation(2));
 }
 
-TEST_F(WorkerDirectory, LeavingIsForGoodInOneLife)
+TEST_F(WorkerDirectory, AnIncarnationThatLeavesNeverReturns)
 {
-    (void)m_directory.observe(start, word(1));
-    EXPECT_TRUE(m_directory.observe(start, word(1, true)));
-    (void)m_directory.observe(start + 1ms, word(1, false));
-    EXPECT_TRUE(only(start + 1ms).leaving) << "an overtaken announcement";
-    (void)m_directory.observe(start + 1s, word(2));
+    (void)m_directory.observe(start, announceFrom(1));
+    EXPECT_TRUE(m_directory.observe(start, announceFrom(1, true)));
+    (void)m_directory.observe(start + 1ms, announceFrom(1, false));
+    EXPECT_TRUE(only(start + 1ms).leaving) << "an announcement that arrives out of order";
+    (void)m_directory.observe(start + 1s, announceFrom(2));
     EXPECT_FALSE(only(start + 1s).leaving);
 }
 
