--- a/coltsfootbend/entry/caller_exchange.cpp
+++ b/coltsfootbend/entry/caller_exchange.cpp
@@ -12,10 +12,12 @@
 
 namespace {
 
+// Reading from the worker daemon pauses above this many unprocessed events.
 constexpr std::size_t maxQueuedEvents = 64;
+// How long operations may continue past the caller's deadline.
 constexpr std::chrono::seconds operationGrace { 1 };
-// A question to a process that does not answer is given up after this, and the flow decides again.
-constexpr std::chrono::seconds questionLimit { 2 };
+// Timeout of a request to a peer. When it passes, the operation counts as lost and the flow decides how to proceed.
+constexpr std::chrono::seconds peerRequestTimeout { 2 };
 
 std::uint64_t microsecondsLeft(time_point now, time_point deadline)
 {
@@ -35,35 +37,45 @@
     return configuration.holders[rendezvousIndex(text, configuration.holders)];
 }
 
-using flow_news = decltype(flow_event::what);
+using event_payload = decltype(flow_event::what);
 
-// What a message from a worker daemon means to the flow; none for those that mean nothing to it.
-struct news_from_message {
+// Converts a message from a worker daemon to an event of the flow. Returns none for messages that the flow does not
+// use.
+struct event_from_message {
     bool isClose = false;
 
-    std::optional<flow_news> operator()(const wire::head& got) const
+    std::optional<event_payload> operator()(const wire::head& received) const
     {
-        return answer_head { static_cast<int>(got.status), got.contentType };
+        return answer_head { static_cast<int>(received.status), received.contentType };
     }
-    std::optional<flow_news> operator()(const wire::bytes& got) const { return answer_bytes { got.offset, got.data }; }
-    std::optional<flow_news> operator()(const wire::end& got) const { return answer_end { got.totalBytes }; }
-    std::optional<flow_news> operator()(const wire::refused& got) const
+    std::optional<event_payload> operator()(const wire::bytes& received) const
     {
-        return attempt_refused { got.reason, std::chrono::milliseconds(got.retryAfterMs) };
+        return answer_bytes { received.offset, received.data };
     }
-    std::optional<flow_news> operator()(const wire::failed&) const { return attempt_failed {}; }
-    std::optional<flow_news> operator()(const wire::other_life&) const { return other_life_answered {}; }
-    std::optional<flow_news> operator()(const wire::revoke_reply& got) const { return revoke_answered { got.verdict }; }
-    std::optional<flow_news> operator()(const wire::claim_reply& got) const
+    std::optional<event_payload> operator()(const wire::end& received) const
     {
-        claim_reply reply { got.verdict, std::nullopt };
-        if (!got.holder.empty())
-            reply.holder = got.holder.front();
+        return answer_end { received.totalBytes };
+    }
+    std::optional<event_payload> operator()(const wire::refused& received) const
+    {
+        return attempt_refused { received.reason, std::chrono::milliseconds(received.retryAfterMs) };
+    }
+    std::optional<event_payload> operator()(const wire::failed&) const { return attempt_failed {}; }
+    std::optional<event_payload> operator()(const wire::other_life&) const { return other_life_answered {}; }
+    std::optional<event_payload> operator()(const wire::revoke_reply& received) const
+    {
+        return revoke_answered { received.verdict };
+    }
+    std::optional<event_payload> operator()(const wire::claim_reply& received) const
+    {
+        claim_reply reply { received.verdict, std::nullopt };
+        if (!received.holder.empty())
+            reply.holder = received.holder.front();
         if (isClose)
             return close_answered { reply };
         return claim_answered { reply };
     }
-    std::optional<flow_news> operator()(const auto&) const { return std::nullopt; }
+    std::optional<event_payload> operator()(const auto&) const { return std::nullopt; }
 };
 
 const char* remedyFor(const finish_request& finished)
@@ -124,7 +136,7 @@
     , m_parsed(parsed)
     , m_deployment(entry.stateOf(parsed.deployment))
     , m_events(entry.m_runtime)
-    , m_drained(entry.m_runtime)
+    , m_eventConsumed(entry.m_runtime)
     , m_flow(parsed.flow, { *this, m_deployment.retries, entry.m_attempts },
           homeOf(*entry.m_configuration->current(), parsed.flow), {})
 {
@@ -142,7 +154,7 @@
     push(0, caller_started {});
     while (!m_flow.isDone()) {
         auto event = m_events.popUntil(m_flow.nextDeadline());
-        m_drained.notify();
+        m_eventConsumed.notify();
         if (!event)
             event = flow_event { 0, timer_fired {} };
         recordEvent(*event);
@@ -150,8 +162,8 @@
             perform(action, responder);
     }
     m_done = true;
-    dropStream();
-    endRouted(std::nullopt);
+    resetStream();
+    recordAttemptEnd(std::nullopt);
 }
 
 void caller_exchange::push(std::uint64_t operation, decltype(flow_event::what) what)
@@ -206,7 +218,7 @@
             std::string("reason=") + toString(finished.reason) + " customer=" + m_parsed.flow.customer.text());
     }
     if (m_headSent)
-        responder.abort(); // A broken connection is how a caller sees that the answer is not whole.
+        responder.abort(); // An aborted connection shows the caller that the answer is incomplete.
     else
         (void)responder.send(outcomeResponse(finished));
 }
@@ -216,59 +228,61 @@
     m_entry.m_runtime.spawn([self = shared_from_this(), work = std::move(work)] { work(*self); });
 }
 
-void caller_exchange::ask(std::uint64_t operation, const vm_id& worker, wire::body question, bool isClose)
+void caller_exchange::sendRequest(std::uint64_t operation, const vm_id& worker, wire::body requestMessage, bool isClose)
 {
-    spawn([operation, worker, isClose, question = std::move(question)](caller_exchange& self) {
+    spawn([operation, worker, isClose, requestMessage = std::move(requestMessage)](caller_exchange& self) {
         const auto address = self.m_entry.addressOf(worker);
         if (!address) {
             self.push(operation, operation_lost { .nothingSent = true });
             return;
         }
-        const auto deadline = std::min(self.m_parsed.flow.deadline + operationGrace, clock_type::now() + questionLimit);
-        const auto reply = self.m_entry.m_peers->client().ask(*address, question, deadline);
+        const auto deadline
+            = std::min(self.m_parsed.flow.deadline + operationGrace, clock_type::now() + peerRequestTimeout);
+        const auto reply = self.m_entry.m_peers->client().ask(*address, requestMessage, deadline);
         if (!reply) {
             self.push(operation, operation_lost { reply.error().kind == error_kind::Unavailable });
             return;
         }
-        auto event = std::visit(news_from_message { isClose }, reply->content);
+        auto event = std::visit(event_from_message { isClose }, reply->content);
         self.push(operation, event ? std::move(*event) : operation_lost {});
     });
 }
 
 void caller_exchange::begin(const send_claim& action)
 {
-    ask(action.operation, action.home, wire::claim { action.request });
+    sendRequest(action.operation, action.home, wire::claim { action.request });
 }
 
 void caller_exchange::begin(const send_close& action)
 {
-    wire::close question { action.key, action.attemptNumber, {}, action.ticketLife };
+    wire::close requestMessage { action.key, action.attemptNumber, {}, action.ticketLife };
     if (action.releases)
-        question.releases.push_back(*action.releases);
-    ask(action.operation, action.home, std::move(question), true);
+        requestMessage.releases.push_back(*action.releases);
+    sendRequest(action.operation, action.home, std::move(requestMessage), true);
 }
 
 void caller_exchange::begin(const send_cancel& action)
 {
     constexpr std::uint64_t noOperation = std::numeric_limits<std::uint64_t>::max();
-    ask(noOperation, action.place.worker, wire::cancel { action.attempt, action.place.life });
+    sendRequest(noOperation, action.place.worker, wire::cancel { action.attempt, action.place.life });
 }
 
 void caller_exchange::begin(const send_revoke& action)
 {
-    ask(action.operation, action.place.worker, wire::revoke { action.attempt, action.place.life });
+    sendRequest(action.operation, action.place.worker, wire::revoke { action.attempt, action.place.life });
 }
 
 void caller_exchange::begin(const send_join& action)
 {
-    dropStream();
-    pump(action.operation, action.place.worker, wire::join { action.attempt, action.place.life, action.offset }, false);
+    resetStream();
+    streamAnswer(
+        action.operation, action.place.worker, wire::join { action.attempt, action.place.life, action.offset }, false);
 }
 
 void caller_exchange::begin(const send_dispatch& action)
 {
-    dropStream();
-    endRouted(std::nullopt);
+    resetStream();
+    recordAttemptEnd(std::nullopt);
     const auto now = clock_type::now();
     m_routed = action;
     m_routedAt = now;
@@ -286,17 +300,18 @@
         .target = m_request.target,
         .contentType = m_parsed.contentType,
         .body = m_request.body };
-    pump(action.operation, action.place.worker, std::move(message), true);
+    streamAnswer(action.operation, action.place.worker, std::move(message), true);
 }
 
-// Sends one message and feeds what comes back on its stream to the flow, no faster than the caller takes it.
-void caller_exchange::pump(std::uint64_t operation, const vm_id& worker, wire::body question, bool isDispatch)
+// Sends one message and feeds the messages of the reply stream to the flow, no faster than the caller reads them.
+void caller_exchange::streamAnswer(
+    std::uint64_t operation, const vm_id& worker, wire::body requestMessage, bool isDispatch)
 {
-    spawn([operation, worker, isDispatch, question = std::move(question)](caller_exchange& self) {
+    spawn([operation, worker, isDispatch, requestMessage = std::move(requestMessage)](caller_exchange& self) {
         const auto address = self.m_entry.addressOf(worker);
         const auto deadline = self.m_parsed.flow.deadline + operationGrace;
         auto opened = address ? self.m_entry.m_peers->client().open(
-                          *address, question, true, std::min(deadline, clock_type::now() + questionLimit))
+                          *address, requestMessage, true, std::min(deadline, clock_type::now() + peerRequestTimeout))
                               : fail(error_kind::Unavailable, "its address is not known");
         if (!opened) {
             self.push(operation, operation_lost { isDispatch && opened.error().kind == error_kind::Unavailable });
@@ -310,20 +325,20 @@
         self.m_stream = stream;
         while (!self.m_done && self.m_stream == stream) {
             while (self.m_events.size() > maxQueuedEvents && !self.m_done)
-                (void)self.m_drained.waitUntil(deadline);
+                (void)self.m_eventConsumed.waitUntil(deadline);
             const auto message = stream->receive(deadline);
             if (!message) {
                 self.push(operation, operation_lost {});
                 return;
             }
             if (const auto* load = std::get_if<wire::load>(&message->content)) {
-                self.m_deployment.routes.observe(clock_type::now(), worker, toReport(*load));
+                self.m_deployment.routes.observe(clock_type::now(), worker, toLoadReport(*load));
                 continue;
             }
             const bool isLast = !std::holds_alternative<wire::head>(message->content)
                 && !std::holds_alternative<wire::bytes>(message->content);
-            auto event = std::visit(news_from_message {}, message->content);
-            // For anything unexpected, the revoke that follows learns what is so.
+            auto event = std::visit(event_from_message {}, message->content);
+            // An unexpected message counts as lost; the revoke that follows determines the state of the attempt.
             self.push(operation, event ? std::move(*event) : operation_lost {});
             if (isLast)
                 return;
@@ -331,15 +346,15 @@
     });
 }
 
-void caller_exchange::dropStream()
+void caller_exchange::resetStream()
 {
     if (m_stream)
         m_stream->reset();
     m_stream.reset();
-    m_drained.notify();
+    m_eventConsumed.notify();
 }
 
-// Lets the router learn from what the flow is about to see.
+// Updates the router's statistics from an event that the flow is about to handle.
 void caller_exchange::recordEvent(const flow_event& event)
 {
     if (!m_routed || event.operation != m_routed->operation)
@@ -347,17 +362,17 @@
     const auto now = clock_type::now();
     if (std::holds_alternative<operation_lost>(event.what)) {
         m_deployment.routes.recordFailure(now, m_routed->place.worker);
-        endRouted(std::nullopt);
+        recordAttemptEnd(std::nullopt);
     } else if (const auto* refused = std::get_if<attempt_refused>(&event.what)) {
         if (refused->reason == refusal::EngineDown)
             m_deployment.routes.recordFailure(now, m_routed->place.worker);
-        endRouted(std::nullopt);
+        recordAttemptEnd(std::nullopt);
     } else if (std::holds_alternative<answer_end>(event.what)) {
-        endRouted(now - m_routedAt);
+        recordAttemptEnd(now - m_routedAt);
     }
 }
 
-void caller_exchange::endRouted(std::optional<duration> served)
+void caller_exchange::recordAttemptEnd(std::optional<duration> served)
 {
     if (m_routed)
         m_deployment.routes.recordEnd(clock_type::now(), m_routed->place.worker, m_routed->attempt, served);
--- a/coltsfootbend/entry/caller_exchange.h
+++ b/coltsfootbend/entry/caller_exchange.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Drives one `request_flow`: performs its actions over the network and feeds back what came of them, and writes the
-// answer to the caller. One for each request, on the fiber of the caller's connection. All decisions are the flow's.
+// Drives one `request_flow`: performs its actions over the network, feeds the results back as events, and writes the
+// answer to the caller. Each request has its own exchange, which runs on the fiber of the caller's connection. All
+// decisions are made by the flow.
 //
 //     auto exchange = std::make_shared<caller_exchange>(entry, request, parsed);
 //     exchange->run(responder);
@@ -20,7 +21,7 @@
     // Blocks until the caller has its final answer.
     void run(http_responder&);
 
-    // What the caller was told.
+    // Returns the outcome that was reported to the caller. Valid after `run`.
     const finish_request& conclusion() const { return m_conclusion; }
 
 private:
@@ -36,30 +37,30 @@
     void conclude(const finish_request&, http_responder&);
 
     template <typename Work> void spawn(Work);
-    void ask(std::uint64_t operation, const vm_id& worker, wire::body question, bool isClose = false);
-    void pump(std::uint64_t operation, const vm_id& worker, wire::body question, bool isDispatch);
+    void sendRequest(std::uint64_t operation, const vm_id& worker, wire::body requestMessage, bool isClose = false);
+    void streamAnswer(std::uint64_t operation, const vm_id& worker, wire::body requestMessage, bool isDispatch);
     void push(std::uint64_t operation, decltype(flow_event::what) what);
-    void dropStream();
+    void resetStream();
     void recordEvent(const flow_event&);
-    void endRouted(std::optional<duration> served);
+    void recordAttemptEnd(std::optional<duration> served);
 
     entry_service& m_entry;
     const http_request& m_request; // Used on the caller's fiber only.
-    const caller_request m_parsed; // A copy: operations may outlast the caller's connection.
+    const caller_request m_parsed; // A copy, because operations may outlive the caller's connection.
     entry_service::deployment_state& m_deployment;
     mailbox<flow_event> m_events;
-    fiber_signal m_drained;
+    fiber_signal m_eventConsumed;
     request_flow m_flow;
     std::shared_ptr<peer_stream> m_stream;
     bool m_headSent = false;
     bool m_done = false;
     finish_request m_conclusion;
-    // The attempt that the router counts as in flight.
+    // The attempt that the router counts as in flight, if any.
     std::optional<send_dispatch> m_routed;
     time_point m_routedAt {};
 };
 
-// The body and headers that tell a caller how its request ended, when that is not an answer.
+// Returns the error response for a request that ended without an answer: status, outcome header, reason and remedy.
 http_response outcomeResponse(const finish_request&);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/entry/caller_request.cpp
+++ b/coltsfootbend/entry/caller_request.cpp
@@ -22,7 +22,7 @@
 constexpr std::uint64_t maxTimeoutMs = 600'000;
 constexpr std::size_t maxKeyLength = 255;
 constexpr std::int64_t defaultMaxTokens = 256;
-// A prefill handles many tokens in the time of one step.
+// A prefill processes this many tokens in the time of one decoding step.
 constexpr int prefillTokensPerStep = 64;
 
 std::optional<std::string> bearerKey(const http_request& request)
@@ -45,7 +45,8 @@
     return method == "GET" || method == "HEAD" || method == "PUT" || method == "DELETE" || method == "OPTIONS";
 }
 
-// A header that must stand at most once; given twice it would be read differently by different readers.
+// Returns a header that may occur at most once. A repeated header is refused, because other HTTP implementations on the
+// path may use a different one of its values.
 result<std::optional<std::string>> singleHeader(const http_request& request, const char* name)
 {
     if (headerCount(request.headers, name) > 1)
@@ -70,7 +71,8 @@
     return std::optional<std::uint64_t>(number);
 }
 
-// Hashes of ever longer prefixes, one for each whole block; a shorter prompt has one for all of it.
+// Returns the hashes of increasingly long prefixes, one for each whole block. A prompt shorter than one block has a
+// single hash of the whole prompt.
 std::vector<std::uint64_t> prefixesOf(const std::string& prompt)
 {
     std::vector<std::uint64_t> prefixes;
@@ -214,8 +216,8 @@
         = now + (*timeout ? duration(std::chrono::milliseconds(static_cast<std::int64_t>(**timeout))) : defaultTimeout);
     parsed.flow.idempotent
         = isRepeatableMethod(request.method) || configuration.deployments.at(parsed.deployment).idempotent;
-    parsed.flow.bodyHash
-        = stableHash(request.body, stableHash(request.method + " " + request.target)) | 1; // Never 0, which means none.
+    parsed.flow.bodyHash = stableHash(request.body, stableHash(request.method + " " + request.target))
+        | 1; // 0 is reserved for a missing hash.
     return parsed;
 }
 
--- a/coltsfootbend/entry/caller_request.h
+++ b/coltsfootbend/entry/caller_request.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Turns a caller's HTTP request into what the entry VM decides on: who asks, which deployment answers, whether it may
-// be repeated, by when, and how large it is. Pure; every refusal names its remedy. docs/API.md describes the headers.
+// Parses a caller's HTTP request into the data that the entry VM decides on: the customer, the deployment, whether the
+// request may be repeated, its deadline and its expected cost. Has no side effects; every refusal names its remedy.
+// docs/API.md describes the headers.
 //
 //     auto parsed = parseCallerRequest(configuration, request, now, defaults);
 
@@ -12,6 +13,7 @@
 
 namespace coltsfootbend {
 
+// Represents a parsed request of a caller.
 struct caller_request {
     flow_request flow;
     deployment_id deployment;
@@ -24,14 +26,16 @@
 // Returns the customer whose key the request carries. Fails with `Denied`.
 result<customer_id> authenticate(const configuration&, const http_request&);
 
-// Returns the operator's name and role. Fails with `Denied`. While no operator is configured, everyone is an editor.
+// Represents an authenticated operator.
 struct operator_identity {
     std::string name;
     operator_role role = operator_role::Viewer;
 };
+// Returns the operator's name and role. Fails with `Denied`. While no operator is configured, every request has the
+// role of an editor.
 result<operator_identity> authenticateOperator(const configuration&, const http_request&);
 
-// Reads a request. Fails with `Denied`, `NotFound` when no deployment answers it, or `BadInput`. O(body).
+// Parses a request. Fails with `Denied`, `NotFound` when no deployment serves it, or `BadInput`. O(body).
 result<caller_request> parseCallerRequest(
     const configuration&, const http_request&, time_point now, duration defaultTimeout);
 
--- a/coltsfootbend/entry/caller_request_test.cpp
+++ b/coltsfootbend/entry/caller_request_test.cpp
@@ -114,7 +114,7 @@
     EXPECT_NE(parsed.error().message.find("too deep"), std::string::npos);
 }
 
-RC_GTEST_PROP(CallerRequest, AnyBodyIsReadOrRefused, (const std::string& body, const std::string& header))
+RC_GTEST_PROP(CallerRequest, ParsesOrRefusesAnyBody, (const std::string& body, const std::string& header))
 {
     auto request = post("/v1/chat/completions", body);
     request.headers.push_back({ "Idempotency-Key", header });
--- a/coltsfootbend/entry/entry_service.cpp
+++ b/coltsfootbend/entry/entry_service.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+// Interval of the checks for workers that stopped announcing themselves.
 constexpr std::chrono::milliseconds expireInterval { 250 };
 
 int statusOf(const error& error)
@@ -30,8 +31,8 @@
     }
 }
 
-// A request that never got as far as an attempt: certainly not run.
-http_response notRun(const error& error)
+// Returns the response to a request that is refused before any attempt, and therefore did not run.
+http_response notRunResponse(const error& error)
 {
     auto response = errorResponse(statusOf(error), error);
     response.head.headers.push_back({ "Coltsfootbend-Outcome", toString(outcome::NotRun) });
@@ -42,7 +43,7 @@
 
 } // namespace
 
-load_report toReport(const wire::load& load)
+load_report toLoadReport(const wire::load& load)
 {
     load_report report { .pendingService = {},
         .slots = load.slots,
@@ -57,7 +58,7 @@
     fiber_runtime& runtime, const daemon_settings& settings, incarnation life, std::function<tls_context()> callerTls)
     : m_runtime(runtime)
     , m_settings(settings)
-    , m_life(life)
+    , m_incarnation(life)
     , m_callerTls(std::move(callerTls))
     , m_directory({ .own = settings.dataCentre })
     , m_attempts(settings.vm, life)
@@ -112,38 +113,38 @@
         return;
     }
     if (m_startedAt.size() >= m_settings.entry->maxRequests) {
-        (void)responder.send(notRun({ error_kind::Overloaded, "this entry VM has all the requests it takes",
+        (void)responder.send(notRunResponse({ error_kind::Overloaded, "this entry VM has all the requests it takes",
             "Send the request again after Retry-After" }));
         return;
     }
     const auto configuration = m_configuration->current();
     if (configuration->version.isNone()) {
-        (void)responder.send(notRun({ error_kind::Unavailable, "this entry VM has no configuration yet",
+        (void)responder.send(notRunResponse({ error_kind::Unavailable, "this entry VM has no configuration yet",
             "Send the request again after Retry-After" }));
         return;
     }
     if (pathOf(request.target) == "/v1/tickets") {
-        (void)responder.send(giveTickets(request));
+        (void)responder.send(issueTickets(request));
         return;
     }
     const auto parsed
         = parseCallerRequest(*configuration, request, clock_type::now(), m_settings.entry->defaultTimeout);
     if (!parsed) {
         m_metrics->count("requests_rejected_total", { { "kind", toString(parsed.error().kind) } });
-        (void)responder.send(notRun(parsed.error()));
+        (void)responder.send(notRunResponse(parsed.error()));
         return;
     }
     serve(request, *parsed, responder);
 }
 
-http_response entry_service::giveTickets(const http_request& request)
+http_response entry_service::issueTickets(const http_request& request)
 {
-    constexpr std::size_t ticketsAtOnce = 16;
+    constexpr std::size_t ticketsPerRequest = 16;
     if (request.method != "POST")
-        return notRun({ error_kind::BadInput, "tickets are asked for with POST", "Use the method POST" });
+        return notRunResponse({ error_kind::BadInput, "tickets are asked for with POST", "Use the method POST" });
     if (const auto customer = authenticate(*m_configuration->current(), request); !customer)
-        return notRun(customer.error());
-    // Holders of this data centre, so that a cut elsewhere does not matter to their keys.
+        return notRunResponse(customer.error());
+    // Only holders in this data centre, so that a network partition elsewhere does not affect their keys.
     std::vector<run_place> holders;
     const auto now = clock_type::now();
     for (const auto& [id, worker] : m_directory.workers()) {
@@ -151,11 +152,11 @@
             holders.push_back({ id, worker.last.life });
     }
     if (holders.empty()) {
-        return notRun({ error_kind::Unavailable, "no worker daemon can hold tickets now",
+        return notRunResponse({ error_kind::Unavailable, "no worker daemon can hold tickets now",
             "Try again after Retry-After, or use a key of your own" });
     }
     nlohmann::json tickets = nlohmann::json::array();
-    for (std::size_t i = 0; i < ticketsAtOnce; ++i)
+    for (std::size_t i = 0; i < ticketsPerRequest; ++i)
         tickets.push_back(makeTicket(holders[m_random() % holders.size()], m_random()).text());
     return { { 200, { { "Content-Type", "application/json" } } },
         nlohmann::json { { "tickets", tickets } }.dump() + "\n" };
@@ -194,7 +195,7 @@
     const auto now = clock_type::now();
     const bool changed = m_directory.observe(now, announcement);
     for (const auto& deployment : announcement.deployments) {
-        stateOf(deployment).routes.observe(now, announcement.worker, toReport(announcement.current));
+        stateOf(deployment).routes.observe(now, announcement.worker, toLoadReport(announcement.current));
     }
     if (!changed)
         return;
@@ -207,13 +208,13 @@
 {
     auto& state = m_deployments[id];
     if (!state) {
-        const auto seed = stableHash(m_settings.vm.text() + id.text(), m_life.number());
+        const auto seed = stableHash(m_settings.vm.text() + id.text(), m_incarnation.number());
         state = std::make_unique<deployment_state>(deployment_state { router({ .seed = seed }), retry_budget({}) });
     }
     return *state;
 }
 
-// A worker is used when it announces a deployment and the configuration lists it there.
+// Passes each router the workers that announce its deployment and that the configuration lists for it.
 void entry_service::refreshRouters()
 {
     const auto configuration = m_configuration->current();
@@ -248,11 +249,11 @@
 void entry_service::leave(time_point deadline)
 {
     m_leaving = true;
-    // The balancer sees the closed listener and sends no more; connections that are open finish what they have.
+    // The closed listener makes the load balancer stop sending new connections; open connections finish their requests.
     m_listener->close();
-    constexpr std::chrono::milliseconds look { 20 };
+    constexpr std::chrono::milliseconds pollInterval { 20 };
     while (!m_startedAt.empty() && clock_type::now() < deadline)
-        m_runtime.sleepFor(look);
+        m_runtime.sleepFor(pollInterval);
 }
 
 void entry_service::stop() { m_stopped = true; }
--- a/coltsfootbend/entry/entry_service.h
+++ b/coltsfootbend/entry/entry_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The entry VM's part: takes callers' requests, drives each through a `request_flow`, and routes to the worker daemons
-// that announce themselves. Found by the name "entry".
+// The service of an entry VM: accepts callers' requests, drives each through a `request_flow`, and routes attempts to
+// the worker daemons that announce themselves. Registered under the name "entry".
 
 #include "coltsfootbend/config/config_service.h"
 #include "coltsfootbend/entry/caller_request.h"
@@ -20,27 +20,29 @@
 
 class caller_exchange;
 
-// Makes the attempt ids of one life of one entry VM.
+// Generates the attempt ids of one incarnation of one entry VM.
 class serial_attempts final : public attempt_source {
 public:
     serial_attempts(vm_id entry, incarnation life)
         : m_entry(std::move(entry))
-        , m_life(life)
+        , m_incarnation(life)
     {
     }
-    attempt_id nextAttempt() override { return { m_entry, m_life, ++m_serial }; }
+    attempt_id nextAttempt() override { return { m_entry, m_incarnation, ++m_serial }; }
 
 private:
     const vm_id m_entry;
-    const incarnation m_life;
+    const incarnation m_incarnation;
     std::uint64_t m_serial = 0;
 };
 
-// What a worker daemon's word on its load means to a router.
-load_report toReport(const wire::load&);
+// Converts the load that a worker daemon reports to the router's form.
+load_report toLoadReport(const wire::load&);
 
+// Represents the entry VM's HTTP service for callers.
 class entry_service final : public service {
 public:
+    // Router and retry budget of one deployment.
     struct deployment_state {
         router routes;
         retry_budget retries;
@@ -57,9 +59,9 @@
     const worker_directory& directory() const { return m_directory; }
     std::size_t inFlight() const { return m_startedAt.size(); }
     bool isLeaving() const { return m_leaving; }
-    // Age of the oldest request that is neither answered nor refused.
+    // Returns the age of the oldest request that is neither answered nor refused; zero when there is none.
     duration oldestRequestAge() const;
-    // Where the peers of the worker daemon listen; none when nobody knows.
+    // Returns the peer address of a worker daemon, as announced or else as configured; none when it is unknown.
     std::optional<endpoint> addressOf(const vm_id&) const;
 
 private:
@@ -67,7 +69,7 @@
 
     void handle(const http_request&, http_responder&);
     void serve(const http_request&, const caller_request&, http_responder&);
-    http_response giveTickets(const http_request&);
+    http_response issueTickets(const http_request&);
     void onAnnounce(const wire::announce&);
     void refreshRouters();
     deployment_state& stateOf(const deployment_id&);
@@ -75,7 +77,7 @@
 
     fiber_runtime& m_runtime;
     const daemon_settings& m_settings;
-    const incarnation m_life;
+    const incarnation m_incarnation;
     const std::function<tls_context()> m_callerTls;
     peer_service* m_peers = nullptr;
     config_service* m_configuration = nullptr;
@@ -84,9 +86,9 @@
     worker_directory m_directory;
     serial_attempts m_attempts;
     std::map<deployment_id, std::unique_ptr<deployment_state>> m_deployments;
-    std::map<std::uint64_t, time_point> m_startedAt; // Of requests in flight, oldest first.
+    std::map<std::uint64_t, time_point> m_startedAt; // Start of each request in flight, by request number.
     std::uint64_t m_requests = 0;
-    std::mt19937_64 m_random; // For the nonces of tickets.
+    std::mt19937_64 m_random; // Chooses ticket holders and nonces.
     bool m_leaving = false;
     bool m_stopped = false;
 };
