--- a/coltsfootbend/execution/attempt_executor.cpp
+++ b/coltsfootbend/execution/attempt_executor.cpp
@@ -27,7 +27,7 @@
     time_point now, const admission_job& job, incarnation addressedTo)
 {
     if (addressedTo != m_incarnation)
-        return refused_piece { refusal::OtherLife, {} };
+        return refused_piece { refusal::OtherIncarnation, {} };
     switch (m_table.admit(job.attempt)) {
     case admit_verdict::Admitted:
         apply(m_queue.submit(now, job), now);
--- a/coltsfootbend/request/attempt.h
+++ b/coltsfootbend/request/attempt.h
@@ -65,7 +65,7 @@
     QueueFull,
     DeadlineTooClose,
     WorkerLeaving,
-    OtherLife, // The worker daemon was restarted; the addressed incarnation has ended.
+    OtherIncarnation, // The worker daemon was restarted; the addressed incarnation has ended.
     Revoked,
     EngineDown,
     HomeUnreachable,
@@ -93,7 +93,7 @@
         return "deadline_too_close";
     case refusal::WorkerLeaving:
         return "worker_leaving";
-    case refusal::OtherLife:
+    case refusal::OtherIncarnation:
         return "other_life";
     case refusal::Revoked:
         return "revoked";
--- a/coltsfootbend/request/request_flow.cpp
+++ b/coltsfootbend/request/request_flow.cpp
@@ -249,12 +249,12 @@
 void request_flow::on(time_point now, const other_life_answered&)
 {
     if (mayRepeat()) {
-        repeatOnOtherWorker(now, refusal::OtherLife);
+        repeatOnOtherWorker(now, refusal::OtherIncarnation);
         return;
     }
     // The state of the attempt was lost with the earlier incarnation. Further revokes cannot recover it, so the outcome
     // is reported at once.
-    finish(outcome::Unknown, m_headForwarded ? refusal::AnswerBroken : refusal::OtherLife);
+    finish(outcome::Unknown, m_headForwarded ? refusal::AnswerBroken : refusal::OtherIncarnation);
 }
 
 void request_flow::join(time_point)
