--- a/coltsfootbend/entry/caller_exchange.cpp
+++ b/coltsfootbend/entry/caller_exchange.cpp
@@ -61,7 +61,7 @@
         return attempt_refused { received.reason, std::chrono::milliseconds(received.retryAfterMs) };
     }
     std::optional<event_payload> operator()(const wire::failed&) const { return attempt_failed {}; }
-    std::optional<event_payload> operator()(const wire::other_life&) const { return other_life_answered {}; }
+    std::optional<event_payload> operator()(const wire::other_life&) const { return other_incarnation_answered {}; }
     std::optional<event_payload> operator()(const wire::revoke_reply& received) const
     {
         return revoke_answered { received.verdict };
--- a/coltsfootbend/measure/request_trial.cpp
+++ b/coltsfootbend/measure/request_trial.cpp
@@ -265,7 +265,7 @@
                 const auto verdict = worker.executor->revoke(m_time.now(), action.attempt, action.place.life);
                 perform(worker);
                 if (!verdict)
-                    return other_life_answered {};
+                    return other_incarnation_answered {};
                 return revoke_answered { *verdict };
             });
     }
@@ -303,7 +303,7 @@
         const bool sent = carry(exchange->entry->dataCentre, worker, [this, exchange, action, &worker] {
             if (action.place.life != worker.executor->life())
                 m_time.after(flightTime(), [this, exchange, action] {
-                    feed(exchange, { action.operation, other_life_answered {} });
+                    feed(exchange, { action.operation, other_incarnation_answered {} });
                 });
             else
                 follow(exchange, action.operation, worker, action.attempt, action.offset);
--- a/coltsfootbend/request/request_flow.cpp
+++ b/coltsfootbend/request/request_flow.cpp
@@ -246,7 +246,7 @@
     }
 }
 
-void request_flow::on(time_point now, const other_life_answered&)
+void request_flow::on(time_point now, const other_incarnation_answered&)
 {
     if (mayRepeat()) {
         repeatOnOtherWorker(now, refusal::OtherIncarnation);
--- a/coltsfootbend/request/request_flow.h
+++ b/coltsfootbend/request/request_flow.h
@@ -143,7 +143,7 @@
     revoke_verdict verdict = revoke_verdict::Forgotten;
 };
 // The worker daemon was restarted; the addressed incarnation has ended and cannot reply.
-struct other_life_answered { };
+struct other_incarnation_answered { };
 struct close_answered {
     claim_reply reply;
 };
@@ -151,7 +151,8 @@
 struct flow_event {
     std::uint64_t operation = 0;
     std::variant<caller_started, caller_gone, timer_fired, claim_answered, operation_lost, attempt_refused,
-        attempt_failed, answer_head, answer_bytes, answer_end, revoke_answered, other_life_answered, close_answered>
+        attempt_failed, answer_head, answer_bytes, answer_end, revoke_answered, other_incarnation_answered,
+        close_answered>
         what;
 };
 
@@ -198,7 +199,7 @@
     void on(time_point, const answer_bytes&);
     void on(time_point, const answer_end&);
     void on(time_point, const revoke_answered&);
-    void on(time_point, const other_life_answered&);
+    void on(time_point, const other_incarnation_answered&);
     void on(time_point, const close_answered&);
 
     bool mayRepeat() const { return m_request.idempotent && !m_request.key && !m_headForwarded; }
--- a/coltsfootbend/request/request_flow_test.cpp
+++ b/coltsfootbend/request/request_flow_test.cpp
@@ -155,7 +155,7 @@
     all += session("a restarted worker daemon proves nothing", unkeyed())
                .receive(0ms, "caller", 0, caller_started {})
                .receive(30ms, "the stream broke", 1, operation_lost {})
-               .receive(32ms, "another life answers", 2, other_life_answered {})
+               .receive(32ms, "another life answers", 2, other_incarnation_answered {})
                .end();
     all += session("a request that may be repeated is, without asking", repeatable())
                .receive(0ms, "caller", 0, caller_started {})
