--- a/coltsfootbend/request/attempt.h
+++ b/coltsfootbend/request/attempt.h
@@ -15,7 +15,7 @@
 // a serial that increases within it.
 struct attempt_id {
     vm_id entry;
-    incarnation entryLife;
+    incarnation entryIncarnation;
     std::uint64_t serial = 0;
 
     auto operator<=>(const attempt_id&) const = default;
@@ -126,7 +126,7 @@
 template <> struct std::hash<coltsfootbend::attempt_id> {
     std::size_t operator()(const coltsfootbend::attempt_id& id) const
     {
-        const auto mixed = id.entryLife.number() * 0x9E3779B97F4A7C15ULL + id.serial;
+        const auto mixed = id.entryIncarnation.number() * 0x9E3779B97F4A7C15ULL + id.serial;
         return std::hash<std::uint64_t>()(mixed ^ (mixed >> 29));
     }
 };
--- a/coltsfootbend/request/attempt_table.cpp
+++ b/coltsfootbend/request/attempt_table.cpp
@@ -13,7 +13,7 @@
 
 bool attempt_table::isEvicted(const attempt_id& attempt) const
 {
-    const auto floor = m_floors.find(attempt.entryLife);
+    const auto floor = m_floors.find(attempt.entryIncarnation);
     return floor != m_floors.end() && attempt.serial <= floor->second;
 }
 
@@ -156,11 +156,11 @@
 
 void attempt_table::raiseFloor(const attempt_id& attempt)
 {
-    const auto [floor, isNew] = m_floors.try_emplace(attempt.entryLife, attempt.serial);
+    const auto [floor, isNew] = m_floors.try_emplace(attempt.entryIncarnation, attempt.serial);
     floor->second = std::max(floor->second, attempt.serial);
     if (!isNew)
         return;
-    m_floorOrder.push_back(attempt.entryLife);
+    m_floorOrder.push_back(attempt.entryIncarnation);
     if (m_floorOrder.size() > maxEntryIncarnations) {
         m_floors.erase(m_floorOrder.front());
         m_floorOrder.pop_front();
--- a/coltsfootbend/worker/worker_service.cpp
+++ b/coltsfootbend/worker/worker_service.cpp
@@ -58,7 +58,7 @@
 
 std::string nameOf(const attempt_id& attempt)
 {
-    return attempt.entry.text() + "-" + std::to_string(attempt.entryLife.number()) + "-"
+    return attempt.entry.text() + "-" + std::to_string(attempt.entryIncarnation.number()) + "-"
         + std::to_string(attempt.serial);
 }
 
