--- a/coltsfootbend/request/claim_ledger.cpp
+++ b/coltsfootbend/request/claim_ledger.cpp
@@ -126,7 +126,7 @@
             .closedThrough = known.closedThrough,
             .closed = known.closed,
             .bodyHash = known.bodyHash,
-            .ageLeft = known.expiresAt - now });
+            .remainingLifetime = known.expiresAt - now });
     }
     return rows;
 }
--- a/coltsfootbend/request/claim_ledger.h
+++ b/coltsfootbend/request/claim_ledger.h
@@ -66,15 +66,15 @@
     std::optional<claim_holder> holder;
 };
 
-// One key in a snapshot. `ageLeft`, the time until its expiry, is a duration because the clocks of two processes
-// differ.
+// One key in a snapshot. `remainingLifetime`, the time until its expiry, is a duration because the clocks of two
+// processes differ.
 struct claim_snapshot_row {
     customer_key key;
     std::optional<claim_holder> holder;
     std::uint32_t closedThrough = 0;
     bool closed = false;
     std::uint64_t bodyHash = 0;
-    duration ageLeft {};
+    duration remainingLifetime {};
 };
 
 // Represents the claims of the keys whose home is one worker daemon.
