--- a/coltsfootbend/entry/caller_exchange.cpp
+++ b/coltsfootbend/entry/caller_exchange.cpp
@@ -255,7 +255,7 @@
 
 void caller_exchange::begin(const send_close& action)
 {
-    wire::close requestMessage { action.key, action.attemptNumber, {}, action.ticketLife };
+    wire::close requestMessage { action.key, action.attemptNumber, {}, action.ticketIncarnation };
     if (action.releases)
         requestMessage.releases.push_back(*action.releases);
     sendRequest(action.operation, action.home, std::move(requestMessage), true);
--- a/coltsfootbend/execution/attempt_executor.cpp
+++ b/coltsfootbend/execution/attempt_executor.cpp
@@ -57,11 +57,11 @@
 }
 
 claim_reply attempt_executor::close(time_point now, const customer_key& key, std::uint32_t attemptNumber,
-    incarnation ticketLife, const std::optional<attempt_id>& releases)
+    incarnation ticketIncarnation, const std::optional<attempt_id>& releases)
 {
     if (releases)
         m_ledger.release(key, *releases);
-    return m_ledger.close(now, key, attemptNumber, ticketLife);
+    return m_ledger.close(now, key, attemptNumber, ticketIncarnation);
 }
 
 void attempt_executor::backendHead(const attempt_id& attempt, int status, std::string contentType)
--- a/coltsfootbend/execution/attempt_executor.h
+++ b/coltsfootbend/execution/attempt_executor.h
@@ -85,7 +85,7 @@
     claim_ledger& ledger() { return m_ledger; }
     claim_reply claim(time_point now, const claim_request& request) { return m_ledger.claim(now, request); }
     // Closes a key, see `claim_ledger::close`. Releases the key from `releases` first, if given.
-    claim_reply close(time_point now, const customer_key&, std::uint32_t attemptNumber, incarnation ticketLife,
+    claim_reply close(time_point now, const customer_key&, std::uint32_t attemptNumber, incarnation ticketIncarnation,
         const std::optional<attempt_id>& releases);
 
     // Report the progress of a started attempt on the backend server.
--- a/coltsfootbend/measure/request_trial.cpp
+++ b/coltsfootbend/measure/request_trial.cpp
@@ -151,7 +151,7 @@
         auto home = m_holders[rendezvousIndex("c/k" + std::to_string(request.index), m_holders)];
         if (request.ticket) {
             const auto named = *parseTicket(*request.ticket);
-            flow.ticketLife = named.life;
+            flow.ticketIncarnation = named.life;
             home = named.worker;
         }
         started->flow = std::make_unique<request_flow>(
@@ -254,7 +254,7 @@
         ask(exchange, action.operation, action.home,
             [this, action](trial_worker& worker) -> decltype(flow_event::what) {
                 return close_answered { worker.executor->close(
-                    m_time.now(), action.key, action.attemptNumber, action.ticketLife, action.releases) };
+                    m_time.now(), action.key, action.attemptNumber, action.ticketIncarnation, action.releases) };
             });
     }
 
--- a/coltsfootbend/request/claim_ledger.cpp
+++ b/coltsfootbend/request/claim_ledger.cpp
@@ -34,12 +34,12 @@
 {
 }
 
-bool claim_ledger::isCompleteFor(time_point now, incarnation ticketLife) const
+bool claim_ledger::isCompleteFor(time_point now, incarnation ticketIncarnation) const
 {
-    if (ticketLife.isNone())
+    if (ticketIncarnation.isNone())
         return isComplete(now);
     // Only the incarnation that a ticket names can have granted it, so the age of the ledger does not matter.
-    return ticketLife == m_incarnation || ticketLife == m_predecessor;
+    return ticketIncarnation == m_incarnation || ticketIncarnation == m_predecessor;
 }
 
 std::optional<claim_verdict> claim_ledger::findRefusal(
@@ -51,7 +51,7 @@
         return claim_verdict::CannotRuleOut;
     if (!known) {
         // Attempt number 1 excludes an earlier grant as reliably as a complete ledger does.
-        if (!isCompleteFor(now, request.ticketLife) && request.attemptNumber != 1)
+        if (!isCompleteFor(now, request.ticketIncarnation) && request.attemptNumber != 1)
             return claim_verdict::CannotRuleOut;
         if (m_records.size() >= m_maxKeys)
             return claim_verdict::LedgerFull;
@@ -94,14 +94,14 @@
 }
 
 claim_reply claim_ledger::close(
-    time_point now, const customer_key& key, std::uint32_t attemptNumber, incarnation ticketLife)
+    time_point now, const customer_key& key, std::uint32_t attemptNumber, incarnation ticketIncarnation)
 {
     removeExpired(now);
     if (m_leaving)
         return { claim_verdict::Leaving, std::nullopt };
     const auto found = m_records.find(key);
     if (found == m_records.end()) {
-        if (!isCompleteFor(now, ticketLife) || !m_granting)
+        if (!isCompleteFor(now, ticketIncarnation) || !m_granting)
             return { claim_verdict::CannotRuleOut, std::nullopt };
         if (m_records.size() >= m_maxKeys)
             return { claim_verdict::LedgerFull, std::nullopt };
--- a/coltsfootbend/request/claim_ledger.h
+++ b/coltsfootbend/request/claim_ledger.h
@@ -35,7 +35,7 @@
     // Hash of the request, which detects a key that is used for a second request; 0 means no hash.
     std::uint64_t bodyHash = 0;
     // The incarnation that a ticket names; none for a key that the caller chose.
-    incarnation ticketLife {};
+    incarnation ticketIncarnation {};
     // The attempt that holds the key and is proven never to start, if any.
     std::optional<attempt_id> replaces {};
 };
@@ -102,7 +102,8 @@
 
     // Closes the key for the caller's attempts up to `attemptNumber` (all of them when 0), so that "not run" can be
     // reported to the caller. `Granted` means closed; other verdicts as for `claim`. O(1) on average.
-    claim_reply close(time_point now, const customer_key&, std::uint32_t attemptNumber, incarnation ticketLife = {});
+    claim_reply close(
+        time_point now, const customer_key&, std::uint32_t attemptNumber, incarnation ticketIncarnation = {});
 
     // Returns all keys and refuses every later claim, so that the ledger of a successor that restores them is complete.
     std::vector<claim_snapshot_row> handOver(time_point now);
@@ -131,7 +132,7 @@
         customer_key key;
     };
 
-    bool isCompleteFor(time_point now, incarnation ticketLife) const;
+    bool isCompleteFor(time_point now, incarnation ticketIncarnation) const;
     std::optional<claim_verdict> findRefusal(time_point now, const record*, const claim_request&) const;
     record& renew(time_point now, const customer_key&);
     void removeExpired(time_point now);
--- a/coltsfootbend/request/claim_ledger_test.cpp
+++ b/coltsfootbend/request/claim_ledger_test.cpp
@@ -77,11 +77,11 @@
 {
     claim_ledger ledger(incomplete());
     auto own = claimOf(1);
-    own.ticketLife = incarnation(1);
+    own.ticketIncarnation = incarnation(1);
     EXPECT_EQ(ledger.claim(start, own).verdict, claim_verdict::Granted);
     auto former = claimOf(2);
     former.key.key = request_key("former");
-    former.ticketLife = incarnation(9);
+    former.ticketIncarnation = incarnation(9);
     EXPECT_EQ(ledger.claim(start + 1h, former).verdict, claim_verdict::CannotRuleOut)
         << "independent of the age of the ledger";
     ledger.restore(start + 1h, {}, incarnation(9));
--- a/coltsfootbend/request/request_flow.cpp
+++ b/coltsfootbend/request/request_flow.cpp
@@ -73,7 +73,7 @@
             .place = m_place,
             .attemptNumber = m_request.attemptNumber,
             .bodyHash = m_request.bodyHash,
-            .ticketLife = m_request.ticketLife,
+            .ticketIncarnation = m_request.ticketIncarnation,
             .replaces = m_replaces } });
 }
 
@@ -370,7 +370,7 @@
         send(send_close { .home = m_home,
             .key = { m_request.customer, *m_request.key },
             .attemptNumber = m_request.attemptNumber,
-            .ticketLife = m_request.ticketLife,
+            .ticketIncarnation = m_request.ticketIncarnation,
             .releases = m_replaces });
         return;
     }
--- a/coltsfootbend/request/request_flow.h
+++ b/coltsfootbend/request/request_flow.h
@@ -28,7 +28,7 @@
     customer_id customer;
     std::optional<request_key> key {};
     // The incarnation that the key names when it is a ticket; none otherwise.
-    incarnation ticketLife {};
+    incarnation ticketIncarnation {};
     std::uint32_t attemptNumber = 0;
     std::uint64_t bodyHash = 0;
     bool idempotent = false;
@@ -83,7 +83,7 @@
     vm_id home;
     customer_key key;
     std::uint32_t attemptNumber = 0;
-    incarnation ticketLife;
+    incarnation ticketIncarnation;
     std::optional<attempt_id> releases;
 };
 // Cancels an attempt whose answer is no longer needed and which may be run again, so that its backend server can stop.
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -16,8 +16,8 @@
 static auto fieldsOf(claim_holder& value) { return std::tie(value.attempt, value.place); }
 static auto fieldsOf(claim_request& value)
 {
-    return std::tie(
-        value.key, value.attempt, value.place, value.attemptNumber, value.bodyHash, value.replaces, value.ticketLife);
+    return std::tie(value.key, value.attempt, value.place, value.attemptNumber, value.bodyHash, value.replaces,
+        value.ticketIncarnation);
 }
 static auto fieldsOf(claim_snapshot_row& value)
 {
--- a/coltsfootbend/wire/codec_test.cpp
+++ b/coltsfootbend/wire/codec_test.cpp
@@ -39,13 +39,13 @@
 {
     claim_request request;
     request.replaces = attempt_id { vm_id("x"), incarnation(1), 2 };
-    request.ticketLife = incarnation(8);
+    request.ticketIncarnation = incarnation(8);
     const auto back
         = decode(wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = wire::claim { request } }));
     ASSERT_TRUE(back && *back);
     const auto& claim = std::get<wire::claim>((*back)->content).request;
     EXPECT_EQ(claim.replaces, request.replaces);
-    EXPECT_EQ(claim.ticketLife, request.ticketLife);
+    EXPECT_EQ(claim.ticketIncarnation, request.ticketIncarnation);
 }
 
 // However the bytes are cut, the same messages come out.
