--- a/coltsfootbend/entry/caller_exchange.cpp
+++ b/coltsfootbend/entry/caller_exchange.cpp
@@ -37,7 +37,7 @@
     return configuration.holders[rendezvousIndex(text, configuration.holders)];
 }
 
-using event_payload = decltype(flow_event::what);
+using event_payload = decltype(flow_event::payload);
 
 // Converts a message from a worker daemon to an event of the flow. Returns none for messages that the flow does not
 // use.
@@ -166,10 +166,10 @@
     recordAttemptEnd(std::nullopt);
 }
 
-void caller_exchange::push(std::uint64_t operation, decltype(flow_event::what) what)
+void caller_exchange::push(std::uint64_t operation, decltype(flow_event::payload) payload)
 {
     if (!m_done)
-        m_events.push({ operation, std::move(what) });
+        m_events.push({ operation, std::move(payload) });
 }
 
 void caller_exchange::perform(const flow_action& action, http_responder& responder)
@@ -360,14 +360,14 @@
     if (!m_routed || event.operation != m_routed->operation)
         return;
     const auto now = clock_type::now();
-    if (std::holds_alternative<operation_lost>(event.what)) {
+    if (std::holds_alternative<operation_lost>(event.payload)) {
         m_deployment.routes.recordFailure(now, m_routed->place.worker);
         recordAttemptEnd(std::nullopt);
-    } else if (const auto* refused = std::get_if<attempt_refused>(&event.what)) {
+    } else if (const auto* refused = std::get_if<attempt_refused>(&event.payload)) {
         if (refused->reason == refusal::EngineDown)
             m_deployment.routes.recordFailure(now, m_routed->place.worker);
         recordAttemptEnd(std::nullopt);
-    } else if (std::holds_alternative<answer_end>(event.what)) {
+    } else if (std::holds_alternative<answer_end>(event.payload)) {
         recordAttemptEnd(now - m_routedAt);
     }
 }
--- a/coltsfootbend/entry/caller_exchange.h
+++ b/coltsfootbend/entry/caller_exchange.h
@@ -39,7 +39,7 @@
     template <typename Work> void spawn(Work);
     void sendRequest(std::uint64_t operation, const vm_id& worker, wire::body requestMessage, bool isClose = false);
     void streamAnswer(std::uint64_t operation, const vm_id& worker, wire::body requestMessage, bool isDispatch);
-    void push(std::uint64_t operation, decltype(flow_event::what) what);
+    void push(std::uint64_t operation, decltype(flow_event::payload) payload);
     void resetStream();
     void recordEvent(const flow_event&);
     void recordAttemptEnd(std::optional<duration> served);
--- a/coltsfootbend/measure/request_trial.cpp
+++ b/coltsfootbend/measure/request_trial.cpp
@@ -222,7 +222,7 @@
             return;
         }
         ask(exchange, action.operation, action.home,
-            [this, action](trial_worker& worker) -> decltype(flow_event::what) {
+            [this, action](trial_worker& worker) -> decltype(flow_event::payload) {
                 return claim_answered { worker.executor->claim(m_time.now(), action.request) };
             });
     }
@@ -252,7 +252,7 @@
             return;
         }
         ask(exchange, action.operation, action.home,
-            [this, action](trial_worker& worker) -> decltype(flow_event::what) {
+            [this, action](trial_worker& worker) -> decltype(flow_event::payload) {
                 return close_answered { worker.executor->close(
                     m_time.now(), action.key, action.attemptNumber, action.ticketIncarnation, action.releases) };
             });
@@ -261,7 +261,7 @@
     void perform(const exchange_ptr& exchange, const send_revoke& action)
     {
         ask(exchange, action.operation, action.place.worker,
-            [this, action](trial_worker& worker) -> decltype(flow_event::what) {
+            [this, action](trial_worker& worker) -> decltype(flow_event::payload) {
                 const auto verdict = worker.executor->revoke(m_time.now(), action.attempt, action.place.life);
                 perform(worker);
                 if (!verdict)
@@ -345,24 +345,24 @@
             return false;
         }
         struct visitor {
-            std::optional<decltype(flow_event::what)> operator()(const nothing_yet&) const { return std::nullopt; }
-            std::optional<decltype(flow_event::what)> operator()(const head_piece& piece) const
+            std::optional<decltype(flow_event::payload)> operator()(const nothing_yet&) const { return std::nullopt; }
+            std::optional<decltype(flow_event::payload)> operator()(const head_piece& piece) const
             {
                 return answer_head { piece.status, piece.contentType };
             }
-            std::optional<decltype(flow_event::what)> operator()(const bytes_piece& piece) const
+            std::optional<decltype(flow_event::payload)> operator()(const bytes_piece& piece) const
             {
                 return answer_bytes { piece.offset, piece.bytes };
             }
-            std::optional<decltype(flow_event::what)> operator()(const end_piece& piece) const
+            std::optional<decltype(flow_event::payload)> operator()(const end_piece& piece) const
             {
                 return answer_end { piece.totalBytes };
             }
-            std::optional<decltype(flow_event::what)> operator()(const refused_piece& piece) const
+            std::optional<decltype(flow_event::payload)> operator()(const refused_piece& piece) const
             {
                 return attempt_refused { piece.reason, piece.retryAfter };
             }
-            std::optional<decltype(flow_event::what)> operator()(const failed_piece&) const
+            std::optional<decltype(flow_event::payload)> operator()(const failed_piece&) const
             {
                 return attempt_failed {};
             }
--- a/coltsfootbend/request/request_flow.cpp
+++ b/coltsfootbend/request/request_flow.cpp
@@ -29,7 +29,7 @@
     // Operation 0 marks events of the caller and the timer; any other number must be the current operation.
     if (m_state == state::Done || (event.operation != 0 && event.operation != m_operation))
         return {};
-    std::visit([&](const auto& what) { on(now, what); }, event.what);
+    std::visit([&](const auto& payload) { on(now, payload); }, event.payload);
     return std::move(m_actions);
 }
 
--- a/coltsfootbend/request/request_flow.h
+++ b/coltsfootbend/request/request_flow.h
@@ -153,7 +153,7 @@
     std::variant<caller_started, caller_gone, timer_fired, claim_answered, operation_lost, attempt_refused,
         attempt_failed, answer_head, answer_bytes, answer_end, revoke_answered, other_incarnation_answered,
         close_answered>
-        what;
+        payload;
 };
 
 // Represents the state of one caller's request.
--- a/coltsfootbend/request/request_flow_test.cpp
+++ b/coltsfootbend/request/request_flow_test.cpp
@@ -20,10 +20,11 @@
         m_trace << "# " << title << "\n";
     }
 
-    session& receive(duration at, const std::string& label, std::uint64_t operation, decltype(flow_event::what) what)
+    session& receive(
+        duration at, const std::string& label, std::uint64_t operation, decltype(flow_event::payload) payload)
     {
         m_trace << std::chrono::duration_cast<std::chrono::milliseconds>(at).count() << " ms  -> " << label << "\n";
-        for (const auto& action : m_flow.handle(start + at, { operation, std::move(what) }))
+        for (const auto& action : m_flow.handle(start + at, { operation, std::move(payload) }))
             std::visit([this](const auto& recorded) { write(recorded); }, action);
         return *this;
     }
