--- a/coltsfootbend/entry/caller_exchange.cpp
+++ b/coltsfootbend/entry/caller_exchange.cpp
@@ -264,19 +264,19 @@
 void caller_exchange::begin(const send_cancel& action)
 {
     constexpr std::uint64_t noOperation = std::numeric_limits<std::uint64_t>::max();
-    sendRequest(noOperation, action.place.worker, wire::cancel { action.attempt, action.place.life });
+    sendRequest(noOperation, action.place.worker, wire::cancel { action.attempt, action.place.workerIncarnation });
 }
 
 void caller_exchange::begin(const send_revoke& action)
 {
-    sendRequest(action.operation, action.place.worker, wire::revoke { action.attempt, action.place.life });
+    sendRequest(action.operation, action.place.worker, wire::revoke { action.attempt, action.place.workerIncarnation });
 }
 
 void caller_exchange::begin(const send_join& action)
 {
     resetStream();
-    streamAnswer(
-        action.operation, action.place.worker, wire::join { action.attempt, action.place.life, action.offset }, false);
+    streamAnswer(action.operation, action.place.worker,
+        wire::join { action.attempt, action.place.workerIncarnation, action.offset }, false);
 }
 
 void caller_exchange::begin(const send_dispatch& action)
@@ -289,7 +289,7 @@
     m_deployment.routes.recordDispatch(now, action.place.worker, action.attempt, m_parsed.routing);
     const auto expected = m_parsed.routing.serviceTime + m_parsed.routing.prefillTime;
     wire::dispatch message { .attempt = action.attempt,
-        .workerLife = action.place.life,
+        .workerLife = action.place.workerIncarnation,
         .customer = m_parsed.flow.customer,
         .priority = m_parsed.priority,
         .weight = m_parsed.weight,
--- a/coltsfootbend/entry/caller_request.cpp
+++ b/coltsfootbend/entry/caller_request.cpp
@@ -144,7 +144,7 @@
                 "Send from 1 to 255 characters, a random UUID for example");
         flow.key = request_key(**key);
         if (const auto ticket = parseTicket(*flow.key))
-            flow.ticketIncarnation = ticket->life;
+            flow.ticketIncarnation = ticket->workerIncarnation;
     }
     const auto attempt = numberHeader(request, "Coltsfootbend-Attempt", 1, 1'000'000);
     if (!attempt)
--- a/coltsfootbend/measure/request_trial.cpp
+++ b/coltsfootbend/measure/request_trial.cpp
@@ -151,7 +151,7 @@
         auto home = m_holders[rendezvousIndex("c/k" + std::to_string(request.index), m_holders)];
         if (request.ticket) {
             const auto named = *parseTicket(*request.ticket);
-            flow.ticketIncarnation = named.life;
+            flow.ticketIncarnation = named.workerIncarnation;
             home = named.worker;
         }
         started->flow = std::make_unique<request_flow>(
@@ -262,7 +262,8 @@
     {
         ask(exchange, action.operation, action.place.worker,
             [this, action](trial_worker& worker) -> decltype(flow_event::payload) {
-                const auto verdict = worker.executor->revoke(m_time.now(), action.attempt, action.place.life);
+                const auto verdict
+                    = worker.executor->revoke(m_time.now(), action.attempt, action.place.workerIncarnation);
                 perform(worker);
                 if (!verdict)
                     return other_incarnation_answered {};
@@ -274,7 +275,7 @@
     {
         auto& worker = workerOf(action.place.worker);
         // Also counts what goes to a life that has ended meanwhile.
-        if (const auto left = m_leftAt.find(action.place.life); left != m_leftAt.end())
+        if (const auto left = m_leftAt.find(action.place.workerIncarnation); left != m_leftAt.end())
             m_report.drainLateWork = std::max(m_report.drainLateWork, m_time.now() - left->second);
         const auto deadline = m_time.now() + requestTimeout;
         const bool sent = carry(exchange->entry->dataCentre, worker, [this, exchange, action, &worker, deadline] {
@@ -283,9 +284,9 @@
                 .deadline = deadline,
                 .expectedService = 8ms,
                 .preemptible = true };
-            if (action.place.life == worker.executor->life())
+            if (action.place.workerIncarnation == worker.executor->life())
                 worker.requests[action.attempt] = exchange->request.index;
-            const auto refused = worker.executor->dispatch(m_time.now(), job, action.place.life);
+            const auto refused = worker.executor->dispatch(m_time.now(), job, action.place.workerIncarnation);
             if (refused) {
                 (void)sendPiece(exchange, action.operation, worker, *refused);
                 return;
@@ -301,7 +302,7 @@
     {
         auto& worker = workerOf(action.place.worker);
         const bool sent = carry(exchange->entry->dataCentre, worker, [this, exchange, action, &worker] {
-            if (action.place.life != worker.executor->life())
+            if (action.place.workerIncarnation != worker.executor->life())
                 m_time.after(flightTime(), [this, exchange, action] {
                     feed(exchange, { action.operation, other_incarnation_answered {} });
                 });
--- a/coltsfootbend/membership/worker_directory_test.cpp
+++ b/coltsfootbend/membership/worker_directory_test.cpp
@@ -45,7 +45,7 @@
     (void)m_directory.observe(start, announceFrom(1));
     EXPECT_TRUE(m_directory.observe(start, announceFrom(2)));
     EXPECT_FALSE(m_directory.observe(start + 1s, announceFrom(1)));
-    EXPECT_EQ(only(start + 1s).place.life, incarnation(2));
+    EXPECT_EQ(only(start + 1s).place.workerIncarnation, incarnation(2));
 }
 
 TEST_F(WorkerDirectory, AnIncarnationThatLeavesNeverReturns)
--- a/coltsfootbend/request/attempt.h
+++ b/coltsfootbend/request/attempt.h
@@ -24,7 +24,7 @@
 // Identifies one incarnation of one worker daemon: the only process that may start an attempt addressed to it.
 struct run_place {
     vm_id worker;
-    incarnation life;
+    incarnation workerIncarnation;
 
     auto operator<=>(const run_place&) const = default;
 };
--- a/coltsfootbend/request/ticket.cpp
+++ b/coltsfootbend/request/ticket.cpp
@@ -24,8 +24,8 @@
 
 request_key makeTicket(const run_place& holder, std::uint64_t nonce)
 {
-    return request_key(std::string(ticketPrefix) + holder.worker.text() + separator + toHex(holder.life.number())
-        + separator + toHex(nonce));
+    return request_key(std::string(ticketPrefix) + holder.worker.text() + separator
+        + toHex(holder.workerIncarnation.number()) + separator + toHex(nonce));
 }
 
 std::optional<run_place> parseTicket(const request_key& key)
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -11,7 +11,7 @@
 namespace coltsfootbend {
 
 static auto fieldsOf(attempt_id& value) { return std::tie(value.entry, value.entryIncarnation, value.serial); }
-static auto fieldsOf(run_place& value) { return std::tie(value.worker, value.life); }
+static auto fieldsOf(run_place& value) { return std::tie(value.worker, value.workerIncarnation); }
 static auto fieldsOf(customer_key& value) { return std::tie(value.customer, value.key); }
 static auto fieldsOf(claim_holder& value) { return std::tie(value.attempt, value.place); }
 static auto fieldsOf(claim_request& value)
