--- a/coltsfootbend/execution/attempt_executor.cpp
+++ b/coltsfootbend/execution/attempt_executor.cpp
@@ -12,12 +12,12 @@
 } // namespace
 
 attempt_executor::attempt_executor(const options& options)
-    : m_incarnation(options.life)
+    : m_incarnation(options.ownIncarnation)
     , m_table(options.table)
     , m_queue(options.queue)
     , m_ledger([&] {
         auto ledger = options.ledger;
-        ledger.life = options.life;
+        ledger.ownIncarnation = options.ownIncarnation;
         return ledger;
     }())
 {
--- a/coltsfootbend/execution/attempt_executor.h
+++ b/coltsfootbend/execution/attempt_executor.h
@@ -5,7 +5,7 @@
 // Each call takes the time and one typed input and queues typed actions, which a driver performs. Built from
 // `attempt_table`, `admission_queue` and `claim_ledger`. Does not choose a worker: see `routing/router.h`.
 //
-//     attempt_executor executor({ .life = life, ... });
+//     attempt_executor executor({ .ownIncarnation = incarnation, ... });
 //     executor.dispatch(now, job, job.workerLife);
 //     for (const auto& action : executor.takeActions()) perform(action);
 //     auto piece = executor.nextPiece(attempt, position); // what to send to the entry VM next
@@ -68,7 +68,7 @@
 class attempt_executor {
 public:
     struct options {
-        incarnation life;
+        incarnation ownIncarnation;
         attempt_table::options table;
         admission_queue::options queue;
         claim_ledger::options ledger;
@@ -113,7 +113,7 @@
     std::vector<executor_action> takeActions();
 
     const admission_queue& queue() const { return m_queue; }
-    incarnation life() const { return m_incarnation; }
+    incarnation ownIncarnation() const { return m_incarnation; }
 
 private:
     void apply(const std::vector<admission_decision>&, time_point now);
--- a/coltsfootbend/execution/ledger_registration.cpp
+++ b/coltsfootbend/execution/ledger_registration.cpp
@@ -16,7 +16,7 @@
 // The row's content: the incarnation that wrote it last, and its hand-over.
 struct registration {
     std::uint64_t revision = 0;
-    incarnation life;
+    incarnation workerIncarnation;
     std::string handedOver; // Name of the object with its keys; empty until a planned stop.
 };
 
@@ -25,7 +25,7 @@
     const auto row = table.read(rowOf(worker), deadline);
     if (!row)
         return tl::unexpected(row.error());
-    registration read { .revision = row->revision, .life = {}, .handedOver = {} };
+    registration read { .revision = row->revision, .workerIncarnation = {}, .handedOver = {} };
     if (row->revision == 0)
         return read;
     const auto in = json::parse(row->value, nullptr, false);
@@ -33,14 +33,14 @@
         && in.contains("handed_over") && in["handed_over"].is_string();
     if (!isWhole)
         return fail(error_kind::Internal, "the row claims/" + worker.text() + " cannot be read", "Remove the row");
-    read.life = incarnation(in["life"].get<std::uint64_t>());
+    read.workerIncarnation = incarnation(in["life"].get<std::uint64_t>());
     read.handedOver = in["handed_over"].get<std::string>();
     return read;
 }
 
 std::string encodeRegistration(const registration& value)
 {
-    return json { { "life", value.life.number() }, { "handed_over", value.handedOver } }.dump();
+    return json { { "life", value.workerIncarnation.number() }, { "handed_over", value.handedOver } }.dump();
 }
 
 } // namespace
@@ -51,7 +51,7 @@
     const auto previous = readRegistration(platform.table, self.worker, deadline);
     if (!previous)
         return tl::unexpected(previous.error());
-    if (previous->life == self.life) {
+    if (previous->workerIncarnation == self.workerIncarnation) {
         // The reply to an earlier try was lost, so it is unknown whether the previous incarnation handed its keys over.
         ledger.allowGrants();
         return ledger_registered {};
@@ -67,12 +67,12 @@
         rows = std::move(*decoded);
     }
     const auto written = platform.table.write(
-        rowOf(self.worker), encodeRegistration({ 0, self.life, {} }), previous->revision, deadline);
+        rowOf(self.worker), encodeRegistration({ 0, self.workerIncarnation, {} }), previous->revision, deadline);
     if (!written)
         return tl::unexpected(written.error());
     const bool isComplete = previous->revision == 0 || !previous->handedOver.empty();
     if (isComplete)
-        ledger.restore(now, rows, previous->life);
+        ledger.restore(now, rows, previous->workerIncarnation);
     ledger.allowGrants();
     return ledger_registered { isComplete, rows.size() };
 }
@@ -85,16 +85,16 @@
     const auto current = readRegistration(platform.table, self.worker, deadline);
     if (!current)
         return tl::unexpected(current.error());
-    if (current->life != self.life)
+    if (current->workerIncarnation != self.workerIncarnation)
         return fail(error_kind::Stale, "this life is not registered", "Nothing is to be done: it granted no key");
     // Handing over an incomplete ledger would make the successor treat it as complete.
     if (!ledger.isComplete(now))
         return fail(error_kind::Unavailable, "the ledger is not complete", "The next life waits for one key lifetime");
-    const auto object = "claims/" + self.worker.text() + "-" + std::to_string(self.life.number());
+    const auto object = "claims/" + self.worker.text() + "-" + std::to_string(self.workerIncarnation.number());
     if (auto put = platform.objects.put(object, wire::encodeLedger(rows), deadline); !put)
         return tl::unexpected(put.error());
     const auto written = platform.table.write(
-        rowOf(self.worker), encodeRegistration({ 0, self.life, object }), current->revision, deadline);
+        rowOf(self.worker), encodeRegistration({ 0, self.workerIncarnation, object }), current->revision, deadline);
     if (!written)
         return tl::unexpected(written.error());
     return rows.size();
--- a/coltsfootbend/execution/ledger_registration.h
+++ b/coltsfootbend/execution/ledger_registration.h
@@ -17,7 +17,7 @@
 // Identifies the owner of a ledger.
 struct ledger_identity {
     vm_id worker;
-    incarnation life;
+    incarnation workerIncarnation;
 };
 
 // The platform's stores that the transfer uses.
--- a/coltsfootbend/execution/ledger_registration_test.cpp
+++ b/coltsfootbend/execution/ledger_registration_test.cpp
@@ -19,7 +19,7 @@
         return claim_ledger({ .keyLifetime = 10min,
             .maxKeys = 10,
             .completeFrom = start + 10min,
-            .life = incarnation(life),
+            .ownIncarnation = incarnation(life),
             .waitForRegistration = true });
     }
     result<ledger_registered> registerIncarnation(claim_ledger& ledger, std::uint64_t life)
--- a/coltsfootbend/measure/cost_scenarios.cpp
+++ b/coltsfootbend/measure/cost_scenarios.cpp
@@ -175,7 +175,7 @@
 
 void measureExecutor(figure_writer& out)
 {
-    attempt_executor executor({ .life = incarnation(1),
+    attempt_executor executor({ .ownIncarnation = incarnation(1),
         .table = { .maxAttempts = 8192, .maxAnswerBytes = 1'000'000 },
         .queue = { .slots = 16, .maxWaiting = 256 },
         .ledger = { .keyLifetime = 10min, .maxKeys = 100'000, .completeFrom = start } });
--- a/coltsfootbend/measure/request_trial.cpp
+++ b/coltsfootbend/measure/request_trial.cpp
@@ -284,7 +284,7 @@
                 .deadline = deadline,
                 .expectedService = 8ms,
                 .preemptible = true };
-            if (action.place.workerIncarnation == worker.executor->life())
+            if (action.place.workerIncarnation == worker.executor->ownIncarnation())
                 worker.requests[action.attempt] = exchange->request.index;
             const auto refused = worker.executor->dispatch(m_time.now(), job, action.place.workerIncarnation);
             if (refused) {
@@ -302,7 +302,7 @@
     {
         auto& worker = workerOf(action.place.worker);
         const bool sent = carry(exchange->entry->dataCentre, worker, [this, exchange, action, &worker] {
-            if (action.place.workerIncarnation != worker.executor->life())
+            if (action.place.workerIncarnation != worker.executor->ownIncarnation())
                 m_time.after(flightTime(), [this, exchange, action] {
                     feed(exchange, { action.operation, other_incarnation_answered {} });
                 });
--- a/coltsfootbend/measure/request_world.cpp
+++ b/coltsfootbend/measure/request_world.cpp
@@ -55,7 +55,7 @@
 {
     std::vector<routing_worker> known;
     for (const auto& worker : m_workers)
-        known.push_back({ .place = { worker->id, worker->executor->life() },
+        known.push_back({ .place = { worker->id, worker->executor->ownIncarnation() },
             .leaving = worker->executor->isLeaving(),
             .remote = worker->dataCentre != entry.dataCentre });
     entry.routes->setWorkers(known);
@@ -75,7 +75,7 @@
     worker.life = life.number();
     worker.followers.clear();
     worker.requests.clear();
-    worker.executor = std::make_unique<attempt_executor>(attempt_executor::options { .life = life,
+    worker.executor = std::make_unique<attempt_executor>(attempt_executor::options { .ownIncarnation = life,
         .table = { .maxAttempts = 2000, .maxAnswerBytes = 1'000'000 },
         .queue = { .slots = 4, .maxWaiting = 16 },
         .ledger = { .keyLifetime = keyLifetime,
@@ -89,7 +89,7 @@
 
 void request_world::registerLife(trial_worker& worker, incarnation life)
 {
-    if (worker.executor->life() != life)
+    if (worker.executor->ownIncarnation() != life)
         return;
     const auto done = registerLedger(
         { m_platform, m_platform }, { worker.id, life }, worker.executor->ledger(), m_time.now(), m_time.now());
@@ -120,10 +120,10 @@
     case fault_kind::WorkerLeaves:
         worker.executor->leave();
         workerChanged(worker);
-        (void)handOverLedger({ m_platform, m_platform }, { worker.id, worker.executor->life() },
+        (void)handOverLedger({ m_platform, m_platform }, { worker.id, worker.executor->ownIncarnation() },
             worker.executor->ledger(), m_time.now(), m_time.now());
         worker.leftAt = m_time.now();
-        m_leftAt[worker.executor->life()] = m_time.now();
+        m_leftAt[worker.executor->ownIncarnation()] = m_time.now();
         announce();
         m_time.after(300ms, [this, &worker, life = worker.life] { endLife(worker, life); });
         return;
--- a/coltsfootbend/request/claim_ledger.cpp
+++ b/coltsfootbend/request/claim_ledger.cpp
@@ -29,7 +29,7 @@
     : m_keyLifetime(options.keyLifetime)
     , m_maxKeys(options.maxKeys)
     , m_completeFrom(options.completeFrom)
-    , m_incarnation(options.life)
+    , m_incarnation(options.ownIncarnation)
     , m_granting(!options.waitForRegistration)
 {
 }
--- a/coltsfootbend/request/claim_ledger.h
+++ b/coltsfootbend/request/claim_ledger.h
@@ -86,7 +86,7 @@
         // When every key that an earlier incarnation may have granted has expired.
         time_point completeFrom {};
         // The incarnation of the worker daemon that owns this ledger.
-        incarnation life {};
+        incarnation ownIncarnation {};
         // Grants nothing until `allowGrants`. An incarnation must be registered with the platform before it grants;
         // otherwise a later incarnation could mistake an older hand-over for the latest one.
         bool waitForRegistration = false;
--- a/coltsfootbend/request/claim_ledger_test.cpp
+++ b/coltsfootbend/request/claim_ledger_test.cpp
@@ -23,11 +23,11 @@
 
 claim_ledger::options complete()
 {
-    return { .keyLifetime = 10min, .maxKeys = 3, .completeFrom = start, .life = incarnation(1) };
+    return { .keyLifetime = 10min, .maxKeys = 3, .completeFrom = start, .ownIncarnation = incarnation(1) };
 }
 claim_ledger::options incomplete()
 {
-    return { .keyLifetime = 10min, .maxKeys = 3, .completeFrom = start + 10min, .life = incarnation(1) };
+    return { .keyLifetime = 10min, .maxKeys = 3, .completeFrom = start + 10min, .ownIncarnation = incarnation(1) };
 }
 
 TEST(ClaimLedger, GrantsAKeyToOneAttemptOnly)
--- a/coltsfootbend/worker/worker_service.cpp
+++ b/coltsfootbend/worker/worker_service.cpp
@@ -70,7 +70,7 @@
     , m_worker(*settings.worker)
     , m_life(life)
     , m_backend(runtime)
-    , m_executor({ .life = life,
+    , m_executor({ .ownIncarnation = life,
           .table = { .maxAttempts = maxAttempts, .maxAnswerBytes = settings.worker->maxAnswerBytes },
           .queue = { .slots = settings.worker->slots, .maxWaiting = settings.worker->maxWaiting },
           .ledger = { .keyLifetime = settings.keyLifetime,
