--- a/coltsfootbend/entry/caller_exchange.cpp
+++ b/coltsfootbend/entry/caller_exchange.cpp
@@ -312,7 +312,7 @@
         const auto deadline = self.m_parsed.flow.deadline + operationGrace;
         auto opened = address ? self.m_entry.m_peers->client().open(
                           *address, requestMessage, true, std::min(deadline, clock_type::now() + peerRequestTimeout))
-                              : fail(error_kind::Unavailable, "its address is not known");
+                              : fail(error_kind::Unavailable, "the address of the worker daemon is unknown");
         if (!opened) {
             self.push(operation, operation_lost { isDispatch && opened.error().kind == error_kind::Unavailable });
             return;
--- a/coltsfootbend/entry/entry_service.cpp
+++ b/coltsfootbend/entry/entry_service.cpp
@@ -54,14 +54,14 @@
     return report;
 }
 
-entry_service::entry_service(
-    fiber_runtime& runtime, const daemon_settings& settings, incarnation life, std::function<tls_context()> callerTls)
+entry_service::entry_service(fiber_runtime& runtime, const daemon_settings& settings, incarnation ownIncarnation,
+    std::function<tls_context()> callerTls)
     : m_runtime(runtime)
     , m_settings(settings)
-    , m_incarnation(life)
+    , m_incarnation(ownIncarnation)
     , m_callerTls(std::move(callerTls))
     , m_directory({ .own = settings.dataCentre })
-    , m_attempts(settings.vm, life)
+    , m_attempts(settings.vm, ownIncarnation)
     , m_random(std::random_device()())
 {
 }
@@ -77,7 +77,8 @@
         return tl::unexpected(metrics.error());
     m_metrics = *metrics;
     if (!m_peers || !m_configuration)
-        return fail(error_kind::NotFound, "it needs 'peers' and 'configuration'", "Add them to the process");
+        return fail(error_kind::NotFound, "the service 'entry' requires 'peers' and 'configuration'",
+            "Add them to the process");
     m_metrics->gauge("oldest_request_seconds", [this] { return toMilliseconds(oldestRequestAge()) / 1000; });
     m_metrics->gauge("requests_in_flight", [this] { return static_cast<double>(inFlight()); });
     m_metrics->gauge("workers_known", [this] { return static_cast<double>(m_directory.workers().size()); });
--- a/coltsfootbend/entry/entry_service.h
+++ b/coltsfootbend/entry/entry_service.h
@@ -23,9 +23,9 @@
 // Generates the attempt ids of one incarnation of one entry VM.
 class serial_attempts final : public attempt_source {
 public:
-    serial_attempts(vm_id entry, incarnation life)
+    serial_attempts(vm_id entry, incarnation entryIncarnation)
         : m_entry(std::move(entry))
-        , m_incarnation(life)
+        , m_incarnation(entryIncarnation)
     {
     }
     attempt_id nextAttempt() override { return { m_entry, m_incarnation, ++m_serial }; }
@@ -48,7 +48,8 @@
         retry_budget retries;
     };
 
-    entry_service(fiber_runtime&, const daemon_settings&, incarnation life, std::function<tls_context()> callerTls);
+    entry_service(
+        fiber_runtime&, const daemon_settings&, incarnation ownIncarnation, std::function<tls_context()> callerTls);
     ~entry_service() override;
 
     std::string_view name() const override { return "entry"; }
--- a/coltsfootbend/execution/ledger_registration.cpp
+++ b/coltsfootbend/execution/ledger_registration.cpp
@@ -32,7 +32,7 @@
     const bool isWhole = in.is_object() && in.contains("life") && in["life"].is_number_unsigned()
         && in.contains("handed_over") && in["handed_over"].is_string();
     if (!isWhole)
-        return fail(error_kind::Internal, "the row claims/" + worker.text() + " cannot be read", "Remove the row");
+        return fail(error_kind::Internal, "the row claims/" + worker.text() + " is malformed", "Remove the row");
     read.workerIncarnation = incarnation(in["life"].get<std::uint64_t>());
     read.handedOver = in["handed_over"].get<std::string>();
     return read;
@@ -86,10 +86,11 @@
     if (!current)
         return tl::unexpected(current.error());
     if (current->workerIncarnation != self.workerIncarnation)
-        return fail(error_kind::Stale, "this life is not registered", "Nothing is to be done: it granted no key");
+        return fail(error_kind::Stale, "this incarnation is not registered", "No action is needed: it granted no key");
     // Handing over an incomplete ledger would make the successor treat it as complete.
     if (!ledger.isComplete(now))
-        return fail(error_kind::Unavailable, "the ledger is not complete", "The next life waits for one key lifetime");
+        return fail(error_kind::Unavailable, "the claim ledger is incomplete",
+            "The next incarnation waits for one key lifetime");
     const auto object = "claims/" + self.worker.text() + "-" + std::to_string(self.workerIncarnation.number());
     if (auto put = platform.objects.put(object, wire::encodeLedger(rows), deadline); !put)
         return tl::unexpected(put.error());
--- a/coltsfootbend/request/attempt_table_test.cpp
+++ b/coltsfootbend/request/attempt_table_test.cpp
@@ -56,7 +56,7 @@
     EXPECT_FALSE(table.start(attempt(1)));
 }
 
-TEST(AttemptTable, RemembersThatForgottenAttemptsMayHaveRun)
+TEST(AttemptTable, ReportsThatEvictedAttemptsMayHaveRun)
 {
     attempt_table table({ .maxAttempts = 1, .maxAnswerBytes = 100 });
     EXPECT_EQ(table.admit(attempt(5)), admit_verdict::Admitted);
@@ -67,7 +67,7 @@
     EXPECT_EQ(table.admit(attempt(4)), admit_verdict::Forgotten);
 }
 
-TEST(AttemptTable, DropsTheOldestFinishedBodiesFirst)
+TEST(AttemptTable, EvictsTheOldestFinishedBodiesFirst)
 {
     attempt_table table({ .maxAttempts = 10, .maxAnswerBytes = 10 });
     for (std::uint64_t serial = 1; serial <= 2; ++serial) {
--- a/coltsfootbend/request/claim_ledger_test.cpp
+++ b/coltsfootbend/request/claim_ledger_test.cpp
@@ -79,13 +79,13 @@
     auto own = claimOf(1);
     own.ticketIncarnation = incarnation(1);
     EXPECT_EQ(ledger.claim(start, own).verdict, claim_verdict::Granted);
-    auto former = claimOf(2);
-    former.key.key = request_key("former");
-    former.ticketIncarnation = incarnation(9);
-    EXPECT_EQ(ledger.claim(start + 1h, former).verdict, claim_verdict::CannotRuleOut)
+    auto previous = claimOf(2);
+    previous.key.key = request_key("former");
+    previous.ticketIncarnation = incarnation(9);
+    EXPECT_EQ(ledger.claim(start + 1h, previous).verdict, claim_verdict::CannotRuleOut)
         << "independent of the age of the ledger";
     ledger.restore(start + 1h, {}, incarnation(9));
-    EXPECT_EQ(ledger.claim(start + 1h, former).verdict, claim_verdict::Granted) << "after its hand-over";
+    EXPECT_EQ(ledger.claim(start + 1h, previous).verdict, claim_verdict::Granted) << "after its hand-over";
 }
 
 TEST(ClaimLedger, AClosedAttemptNumberNeverRunsAndALaterOneMay)
@@ -114,10 +114,10 @@
 
 TEST(ClaimLedger, AHandOverCarriesEveryKeyAndEndsGranting)
 {
-    claim_ledger former(complete());
-    (void)former.claim(start, claimOf(1));
-    const auto rows = former.handOver(start);
-    EXPECT_EQ(former.claim(start, claimOf(1)).verdict, claim_verdict::Leaving);
+    claim_ledger previous(complete());
+    (void)previous.claim(start, claimOf(1));
+    const auto rows = previous.handOver(start);
+    EXPECT_EQ(previous.claim(start, claimOf(1)).verdict, claim_verdict::Leaving);
     claim_ledger next(incomplete());
     next.restore(start, rows);
     EXPECT_EQ(next.claim(start, claimOf(2)).verdict, claim_verdict::AlreadyClaimed);
--- a/coltsfootbend/request/ticket.cpp
+++ b/coltsfootbend/request/ticket.cpp
@@ -35,16 +35,16 @@
         return std::nullopt;
     rest.remove_prefix(ticketPrefix.size());
     const auto nonceAt = rest.rfind(separator);
-    const auto lifeAt
+    const auto incarnationAt
         = nonceAt == std::string_view::npos || nonceAt == 0 ? nonceAt : rest.rfind(separator, nonceAt - 1);
-    if (lifeAt == std::string_view::npos || lifeAt == 0 || lifeAt >= nonceAt)
+    if (incarnationAt == std::string_view::npos || incarnationAt == 0 || incarnationAt >= nonceAt)
         return std::nullopt;
-    const auto digits = rest.substr(lifeAt + 1, nonceAt - lifeAt - 1);
-    std::uint64_t life = 0;
-    const auto [end, code] = std::from_chars(digits.data(), digits.data() + digits.size(), life, hexadecimal);
-    if (code != std::errc {} || end != digits.data() + digits.size() || life == 0)
+    const auto digits = rest.substr(incarnationAt + 1, nonceAt - incarnationAt - 1);
+    std::uint64_t number = 0;
+    const auto [end, code] = std::from_chars(digits.data(), digits.data() + digits.size(), number, hexadecimal);
+    if (code != std::errc {} || end != digits.data() + digits.size() || number == 0)
         return std::nullopt;
-    return run_place { vm_id(std::string(rest.substr(0, lifeAt))), incarnation(life) };
+    return run_place { vm_id(std::string(rest.substr(0, incarnationAt))), incarnation(number) };
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/request/ticket.h
+++ b/coltsfootbend/request/ticket.h
@@ -4,7 +4,7 @@
 // that stores its claim. Only this incarnation can grant it, so a ticket is usable without the claims of earlier
 // incarnations, and its holder is in the caller's data centre. Callers may always send keys of their own instead.
 //
-//     request_key key = makeTicket({ worker, life }, random());
+//     request_key key = makeTicket({ worker, workerIncarnation }, random());
 //     if (auto ticket = parseTicket(key)) home = ticket->worker;
 
 #include "coltsfootbend/request/attempt.h"
