--- a/coltsfootbend/membership/worker_directory.h
+++ b/coltsfootbend/membership/worker_directory.h
@@ -48,18 +48,20 @@
     // Records one announcement. Returns whether the set of workers, or the work that one of them accepts, changed.
     bool observe(time_point now, const wire::announce&);
 
-    // Marks workers that missed announcements as suspected, and removes those that missed `forgetAfterMissed`.
+    // The changes that one call of `expire` made.
     struct expired {
         // Whether the result of `workersOf` has changed.
         bool changed = false;
         std::vector<vm_id> newlySuspected;
     };
+    // Marks workers that missed announcements as suspected, and removes those that missed `forgetAfterMissed` in a row.
     expired expire(time_point now);
 
     // Returns the workers that serve `deployment`, for `router::setWorkers`.
     std::vector<routing_worker> workersOf(const deployment_id&, time_point now) const;
 
     const std::map<vm_id, known_worker>& workers() const { return m_workers; }
+    // Returns null for an unknown worker.
     const known_worker* find(const vm_id&) const;
 
 private:
