--- a/coltsfootbend/execution/attempt_executor.cpp
+++ b/coltsfootbend/execution/attempt_executor.cpp
@@ -12,12 +12,12 @@
 } // namespace
 
 attempt_executor::attempt_executor(const options& options)
-    : m_life(options.life)
+    : m_incarnation(options.ownIncarnation)
     , m_table(options.table)
     , m_queue(options.queue)
     , m_ledger([&] {
         auto ledger = options.ledger;
-        ledger.life = options.life;
+        ledger.ownIncarnation = options.ownIncarnation;
         return ledger;
     }())
 {
@@ -26,8 +26,8 @@
 std::optional<answer_piece> attempt_executor::dispatch(
     time_point now, const admission_job& job, incarnation addressedTo)
 {
-    if (addressedTo != m_life)
-        return refused_piece { refusal::OtherLife, {} };
+    if (addressedTo != m_incarnation)
+        return refused_piece { refusal::OtherIncarnation, {} };
     switch (m_table.admit(job.attempt)) {
     case admit_verdict::Admitted:
         apply(m_queue.submit(now, job), now);
@@ -36,7 +36,7 @@
         return refused_piece {};
     case admit_verdict::Duplicate:
     case admit_verdict::Forgotten:
-        // An attempt is sent once; whatever this is, it proves nothing about the first copy.
+        // Each attempt is sent once. A second copy gives no information about whether the first one ran.
         return failed_piece {};
     }
     return failed_piece {};
@@ -45,7 +45,7 @@
 std::optional<revoke_verdict> attempt_executor::revoke(
     time_point now, const attempt_id& attempt, incarnation addressedTo)
 {
-    if (addressedTo != m_life)
+    if (addressedTo != m_incarnation)
         return std::nullopt;
     const auto verdict = m_table.revoke(attempt);
     if (verdict == revoke_verdict::Revoked) {
@@ -57,11 +57,11 @@
 }
 
 claim_reply attempt_executor::close(time_point now, const customer_key& key, std::uint32_t attemptNumber,
-    incarnation ticketLife, const std::optional<attempt_id>& releases)
+    incarnation ticketIncarnation, const std::optional<attempt_id>& releases)
 {
     if (releases)
         m_ledger.release(key, *releases);
-    return m_ledger.close(now, key, attemptNumber, ticketLife);
+    return m_ledger.close(now, key, attemptNumber, ticketIncarnation);
 }
 
 void attempt_executor::backendHead(const attempt_id& attempt, int status, std::string contentType)
@@ -113,7 +113,7 @@
     for (const auto& decision : decisions) {
         switch (decision.verb) {
         case admission_verb::Start:
-            // Revoked in the meantime: the slot is free for the next.
+            // If the attempt was revoked in the meantime, its slot is free for the next one.
             if (m_table.start(decision.attempt))
                 m_actions.emplace_back(start_on_backend { decision.attempt });
             else
--- a/coltsfootbend/measure/request_trial.cpp
+++ b/coltsfootbend/measure/request_trial.cpp
@@ -151,7 +151,7 @@
         auto home = m_holders[rendezvousIndex("c/k" + std::to_string(request.index), m_holders)];
         if (request.ticket) {
             const auto named = *parseTicket(*request.ticket);
-            flow.ticketLife = named.life;
+            flow.ticketIncarnation = named.workerIncarnation;
             home = named.worker;
         }
         started->flow = std::make_unique<request_flow>(
@@ -222,7 +222,7 @@
             return;
         }
         ask(exchange, action.operation, action.home,
-            [this, action](trial_worker& worker) -> decltype(flow_event::what) {
+            [this, action](trial_worker& worker) -> decltype(flow_event::payload) {
                 return claim_answered { worker.executor->claim(m_time.now(), action.request) };
             });
     }
@@ -252,20 +252,21 @@
             return;
         }
         ask(exchange, action.operation, action.home,
-            [this, action](trial_worker& worker) -> decltype(flow_event::what) {
+            [this, action](trial_worker& worker) -> decltype(flow_event::payload) {
                 return close_answered { worker.executor->close(
-                    m_time.now(), action.key, action.attemptNumber, action.ticketLife, action.releases) };
+                    m_time.now(), action.key, action.attemptNumber, action.ticketIncarnation, action.releases) };
             });
     }
 
     void perform(const exchange_ptr& exchange, const send_revoke& action)
     {
         ask(exchange, action.operation, action.place.worker,
-            [this, action](trial_worker& worker) -> decltype(flow_event::what) {
-                const auto verdict = worker.executor->revoke(m_time.now(), action.attempt, action.place.life);
+            [this, action](trial_worker& worker) -> decltype(flow_event::payload) {
+                const auto verdict
+                    = worker.executor->revoke(m_time.now(), action.attempt, action.place.workerIncarnation);
                 perform(worker);
                 if (!verdict)
-                    return other_life_answered {};
+                    return other_incarnation_answered {};
                 return revoke_answered { *verdict };
             });
     }
@@ -274,7 +275,7 @@
     {
         auto& worker = workerOf(action.place.worker);
         // Also counts what goes to a life that has ended meanwhile.
-        if (const auto left = m_leftAt.find(action.place.life); left != m_leftAt.end())
+        if (const auto left = m_leftAt.find(action.place.workerIncarnation); left != m_leftAt.end())
             m_report.drainLateWork = std::max(m_report.drainLateWork, m_time.now() - left->second);
         const auto deadline = m_time.now() + requestTimeout;
         const bool sent = carry(exchange->entry->dataCentre, worker, [this, exchange, action, &worker, deadline] {
@@ -283,9 +284,9 @@
                 .deadline = deadline,
                 .expectedService = 8ms,
                 .preemptible = true };
-            if (action.place.life == worker.executor->life())
+            if (action.place.workerIncarnation == worker.executor->ownIncarnation())
                 worker.requests[action.attempt] = exchange->request.index;
-            const auto refused = worker.executor->dispatch(m_time.now(), job, action.place.life);
+            const auto refused = worker.executor->dispatch(m_time.now(), job, action.place.workerIncarnation);
             if (refused) {
                 (void)sendPiece(exchange, action.operation, worker, *refused);
                 return;
@@ -301,9 +302,9 @@
     {
         auto& worker = workerOf(action.place.worker);
         const bool sent = carry(exchange->entry->dataCentre, worker, [this, exchange, action, &worker] {
-            if (action.place.life != worker.executor->life())
+            if (action.place.workerIncarnation != worker.executor->ownIncarnation())
                 m_time.after(flightTime(), [this, exchange, action] {
-                    feed(exchange, { action.operation, other_life_answered {} });
+                    feed(exchange, { action.operation, other_incarnation_answered {} });
                 });
             else
                 follow(exchange, action.operation, worker, action.attempt, action.offset);
@@ -345,24 +346,24 @@
             return false;
         }
         struct visitor {
-            std::optional<decltype(flow_event::what)> operator()(const nothing_yet&) const { return std::nullopt; }
-            std::optional<decltype(flow_event::what)> operator()(const head_piece& piece) const
+            std::optional<decltype(flow_event::payload)> operator()(const nothing_yet&) const { return std::nullopt; }
+            std::optional<decltype(flow_event::payload)> operator()(const head_piece& piece) const
             {
                 return answer_head { piece.status, piece.contentType };
             }
-            std::optional<decltype(flow_event::what)> operator()(const bytes_piece& piece) const
+            std::optional<decltype(flow_event::payload)> operator()(const bytes_piece& piece) const
             {
                 return answer_bytes { piece.offset, piece.bytes };
             }
-            std::optional<decltype(flow_event::what)> operator()(const end_piece& piece) const
+            std::optional<decltype(flow_event::payload)> operator()(const end_piece& piece) const
             {
                 return answer_end { piece.totalBytes };
             }
-            std::optional<decltype(flow_event::what)> operator()(const refused_piece& piece) const
+            std::optional<decltype(flow_event::payload)> operator()(const refused_piece& piece) const
             {
                 return attempt_refused { piece.reason, piece.retryAfter };
             }
-            std::optional<decltype(flow_event::what)> operator()(const failed_piece&) const
+            std::optional<decltype(flow_event::payload)> operator()(const failed_piece&) const
             {
                 return attempt_failed {};
             }
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -10,14 +10,14 @@
 // unnamed namespace, because argument-dependent lookup has to find them.
 namespace coltsfootbend {
 
-static auto fieldsOf(attempt_id& value) { return std::tie(value.entry, value.entryLife, value.serial); }
-static auto fieldsOf(run_place& value) { return std::tie(value.worker, value.life); }
+static auto fieldsOf(attempt_id& value) { return std::tie(value.entry, value.entryIncarnation, value.serial); }
+static auto fieldsOf(run_place& value) { return std::tie(value.worker, value.workerIncarnation); }
 static auto fieldsOf(customer_key& value) { return std::tie(value.customer, value.key); }
 static auto fieldsOf(claim_holder& value) { return std::tie(value.attempt, value.place); }
 static auto fieldsOf(claim_request& value)
 {
-    return std::tie(
-        value.key, value.attempt, value.place, value.attemptNumber, value.bodyHash, value.replaces, value.ticketLife);
+    return std::tie(value.key, value.attempt, value.place, value.attemptNumber, value.bodyHash, value.replaces,
+        value.ticketIncarnation);
 }
 static auto fieldsOf(claim_snapshot_row& value)
 {
--- a/coltsfootbend/worker/worker_service.cpp
+++ b/coltsfootbend/worker/worker_service.cpp
@@ -59,7 +59,7 @@
 
 std::string nameOf(const attempt_id& attempt)
 {
-    return attempt.entry.text() + "-" + std::to_string(attempt.entryLife.number()) + "-"
+    return attempt.entry.text() + "-" + std::to_string(attempt.entryIncarnation.number()) + "-"
         + std::to_string(attempt.serial);
 }
 
@@ -71,7 +71,7 @@
     , m_worker(*settings.worker)
     , m_incarnation(ownIncarnation)
     , m_backend(runtime)
-    , m_executor({ .life = ownIncarnation,
+    , m_executor({ .ownIncarnation = ownIncarnation,
           .table = { .maxAttempts = maxAttempts, .maxAnswerBytes = settings.worker->maxAnswerBytes },
           .queue = { .slots = settings.worker->slots, .maxWaiting = settings.worker->maxWaiting },
           .ledger = { .keyLifetime = settings.keyLifetime,
