--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -6,8 +6,8 @@
 #include <type_traits>
 #include <utility>
 
-// The fields of each message in the order in which they travel. Append only. The functions are static, not in an
-// unnamed namespace, because argument-dependent lookup has to find them.
+// List the fields of each message in the order in which they are encoded; new fields may only be appended. The
+// functions are static instead of in an unnamed namespace so that argument-dependent lookup finds them.
 namespace coltsfootbend {
 
 static auto fieldsOf(attempt_id& value) { return std::tie(value.entry, value.entryIncarnation, value.serial); }
@@ -137,7 +137,7 @@
     fieldsOf(value);
 };
 
-// Decodes the alternative with the index `kind`. Returns false when there is none.
+// Decodes the alternative with the index `kind`. Returns false if no alternative has that index.
 template <typename Variant, std::size_t Index = 0>
 static bool convertAlternative(std::uint32_t kind, const msgpack::object& in, Variant& out)
 {
@@ -153,7 +153,7 @@
 
 } // namespace coltsfootbend
 
-// NOLINTBEGIN(readability-identifier-naming): msgpack's names.
+// NOLINTBEGIN(readability-identifier-naming): names required by msgpack.
 namespace msgpack {
 MSGPACK_API_VERSION_NAMESPACE(MSGPACK_DEFAULT_API_NS)
 {
@@ -186,7 +186,7 @@
         }
     };
 
-    // The index of the alternative, and its fields.
+    // Encodes the index of the alternative, then its fields.
     template <> struct pack<coltsfootbend::wire::rank_order> {
         template <typename Stream>
         packer<Stream>& operator()(packer<Stream>& out, const coltsfootbend::wire::rank_order& value) const
@@ -249,7 +249,7 @@
 }
 } // namespace msgpack
 
-// An enumeration is checked against its last member, so that no value without a name comes in.
+// Checks a decoded enumeration against its last member, so that unknown values are rejected.
 #define COLTSFOOTBEND_WIRE_ENUM(type_name, last)                                                                       \
     namespace msgpack {                                                                                                \
     MSGPACK_API_VERSION_NAMESPACE(MSGPACK_DEFAULT_API_NS)                                                              \
@@ -279,7 +279,8 @@
 namespace {
 
 constexpr std::uint32_t envelopeFields = 5;
-// Most messages are short, and a process may be reading a hundred at once: the library's own first buffer is 64 KiB.
+// Initial size of a decoder's buffer. Most messages are short and a process may decode a hundred streams at once, for
+// which the library's default of 64 KiB each is wasteful.
 constexpr std::size_t firstBufferBytes = 4096;
 
 tl::unexpected<error> badMessage(const std::string& what)
@@ -354,7 +355,7 @@
             return badMessage("its kind is unknown");
         return std::optional<message>(std::move(decoded));
     } catch (const std::exception& exception) {
-        // The library throws; nothing beyond this file sees it.
+        // Exceptions of the library are converted to errors here and never leave this file.
         return badMessage(exception.what());
     }
 }
--- a/coltsfootbend/wire/codec.h
+++ b/coltsfootbend/wire/codec.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Turns messages into bytes and back. MessagePack's own library does the encoding; this names the fields. A message is
-// an array of sender, life, version, kind (its index in `wire::body`) and fields; unknown trailing fields are ignored
-// and missing ones keep their defaults, so that two versions can talk.
+// Encodes messages as MessagePack and decodes them. A message is an array of the sender, its incarnation, its
+// configuration version, the kind (the index in `wire::body`) and the fields of the body. Decoders ignore unknown
+// trailing fields and keep the defaults of missing ones, so that processes of two versions can communicate.
 //
 //     std::string bytes = encode(message);
 //     message_decoder decoder(maxMessageBytes);
@@ -21,7 +21,7 @@
 
 std::string encode(const message&);
 
-// Takes bytes as they come and gives whole messages.
+// Decodes a stream of messages that arrives in pieces of any size.
 class message_decoder {
 public:
     explicit message_decoder(std::size_t maxMessageBytes);
@@ -31,8 +31,8 @@
 
     void feed(std::string_view bytes);
 
-    // Returns the next message, or none when more bytes are needed. Fails with `BadInput` for bytes that are no
-    // message; the stream cannot be used any further then.
+    // Returns the next message, or none when more bytes are needed. Fails with `BadInput` for bytes that are not a
+    // valid message; the decoder cannot be used after that.
     result<std::optional<message>> next();
 
 private:
@@ -41,7 +41,7 @@
     const std::size_t m_maxMessageBytes;
 };
 
-// Bytes of a claim ledger's hand-over, as kept in the object store.
+// Encodes and decodes the snapshot of a claim ledger that is handed over through the object store.
 std::string encodeLedger(const std::vector<claim_snapshot_row>&);
 result<std::vector<claim_snapshot_row>> decodeLedger(std::string_view bytes);
 
--- a/coltsfootbend/wire/codec_test.cpp
+++ b/coltsfootbend/wire/codec_test.cpp
@@ -48,7 +48,7 @@
     EXPECT_EQ(claim.ticketIncarnation, request.ticketIncarnation);
 }
 
-// However the bytes are cut, the same messages come out.
+// Decoding yields the same messages regardless of how the bytes are split.
 RC_GTEST_PROP(Codec, MessagesSurviveBeingCutAnywhere, ())
 {
     const auto bytes = wire::encode(dispatchMessage()) + wire::encode(dispatchMessage());
@@ -131,7 +131,7 @@
     EXPECT_EQ(relayed.timeLeftMs, 300U);
 }
 
-// The limit on items holds for each array of a message, not for all of them together.
+// The limit on items applies to each array of a message, not to their sum.
 TEST(Codec, AWholeMapOfTheLargestGroupIsOneMessage)
 {
     constexpr std::size_t sets = 58;
@@ -147,7 +147,7 @@
     EXPECT_EQ(std::get<wire::rank_prepare>(std::get<wire::relayed_order>((*back)->content).order).map, prepare.map);
 }
 
-// Whatever byte of an order is another one, it is read as some order or refused.
+// A relayed order with any one byte changed is either decoded as some order or rejected.
 RC_GTEST_PROP(Codec, ADamagedRelayedOrderIsReadOrRefused, ())
 {
     auto bytes = wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = relayedArm() });
--- a/coltsfootbend/wire/messages.h
+++ b/coltsfootbend/wire/messages.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Every message that the system's processes send each other. They travel as MessagePack on HTTP/2 streams: see
-// `wire/codec.h` for the bytes and docs/PROTOCOL.md for who sends what when. Times travel as what is left of them, for
-// the clocks of two VMs are not compared.
+// Messages that the processes of the system exchange, as MessagePack on HTTP/2 streams or in datagrams. `wire/codec.h`
+// describes the encoding and docs/PROTOCOL.md the exchanges. Deadlines are sent as the time left and times of events as
+// ages, because the clocks of two VMs are never compared.
 
 #include "coltsfootbend/request/claim_ledger.h"
 #include "coltsfootbend/request/request_flow.h"
@@ -15,7 +15,7 @@
 
 namespace coltsfootbend::wire {
 
-// Entry to worker daemon: run this attempt.
+// Entry to worker daemon: asks for an attempt to be run.
 struct dispatch {
     attempt_id attempt;
     incarnation workerLife;
@@ -30,7 +30,7 @@
     std::string contentType;
     std::string body;
 };
-// Worker daemon to entry, in answer to `dispatch` and `join`: the head, the bytes in order, and the end.
+// Worker daemon to entry, in answer to `dispatch` and `join`: the head of the response, its body in order, and its end.
 struct head {
     std::uint32_t status = 0;
     std::string contentType;
@@ -42,16 +42,17 @@
 struct end {
     std::uint64_t totalBytes = 0;
 };
-// Proof that the attempt was not started and never will be.
+// Worker daemon to entry: guarantees that the attempt was not started and never will be.
 struct refused {
     refusal reason = refusal::None;
     std::uint64_t retryAfterMs = 0;
 };
-// It was started, and its answer will never be whole.
+// Worker daemon to entry: the attempt was started, and its response will never be complete.
 struct failed { };
-// The addressed life of the worker daemon is over.
+// The addressed incarnation of the worker daemon has terminated; a later one received the message.
 struct other_life { };
 
+// Entry to worker daemon: asks that an attempt is never started, or how far it has got.
 struct revoke {
     attempt_id attempt;
     incarnation workerLife;
@@ -59,34 +60,36 @@
 struct revoke_reply {
     revoke_verdict verdict = revoke_verdict::Forgotten;
 };
-// Sends the answer of an attempt from `offset` on, as far as it is and as it comes.
+// Entry to worker daemon: asks for the response of an attempt from `offset` on, including the bytes still to come.
 struct join {
     attempt_id attempt;
     incarnation workerLife;
     std::uint64_t offset = 0;
 };
-// The entry's caller is gone and nobody else may join: the engine need not go on.
+// Entry to worker daemon: the caller has disconnected and no other caller can join the attempt, so the engine may stop.
 struct cancel {
     attempt_id attempt;
     incarnation workerLife;
 };
 
-// Entry to the key's home.
+// Entry to the home of an idempotency key: claims the key for an attempt.
 struct claim {
     claim_request request;
 };
 struct claim_reply {
     claim_verdict verdict = claim_verdict::CannotRuleOut;
-    std::vector<claim_holder> holder; // None or one.
+    std::vector<claim_holder> holder; // At most one element.
 };
+// Entry to the home of an idempotency key: closes the key for attempts up to `attemptNumber` (all of them if 0), so
+// that the caller can be answered "not run". Releases the claim of the attempt in `releases`, if any.
 struct close {
     customer_key key;
     std::uint32_t attemptNumber = 0;
-    std::vector<attempt_id> releases; // None or one.
+    std::vector<attempt_id> releases; // At most one element.
     incarnation ticketLife;
 };
 
-// What a worker daemon measures of its load.
+// The load that a worker daemon measures.
 struct load {
     std::vector<std::uint64_t> pendingServiceUs; // See `load_report`.
     std::uint32_t slots = 1;
@@ -102,51 +105,53 @@
     std::vector<deployment_id> deployments;
     bool leaving = false;
     load current;
-    // When the next announcement is due; silence for several times as long is suspicious.
+    // Longest time until the next announcement. The worker is suspected when none arrives for several times as long.
     std::uint64_t nextWithinUs = 1'000'000;
 };
 struct acknowledge { };
 
-// Any process to one that has a newer configuration.
+// Any process to one that has a newer configuration: asks for the steps after `have`.
 struct config_request {
     config_version have;
 };
+// One accepted patch of the configuration.
 struct config_step {
     config_version version;
     patch_id id;
     std::string actor;
-    std::uint64_t acceptedAtMs = 0; // Wall clock of the accepting entry VM, for the audit trail only.
+    std::uint64_t acceptedAtMs = 0; // Wall clock of the accepting entry VM; used only by the audit trail.
     std::string mergePatch;
-    // The merge patch that takes it back, and so the values before; kept with the platform, not sent between processes.
+    // Merge patch that reverts the step. Stored with the platform only, never sent between processes.
     std::string undoPatch;
 };
 struct config_reply {
-    config_version base; // Of `document`; when it is none, `steps` continue from what the asker has.
+    config_version base; // Version of `document`; when none, `steps` follow the requester's version.
     std::string document;
     std::vector<config_step> steps;
 };
-// A new configuration is in force; pull it from the sender.
+// Notifies the receiver that the sender has a new configuration in force, to be pulled from the sender.
 struct config_notice { };
 
-// An operator wants this worker daemon to leave.
+// Asks the process to finish its requests and stop, on behalf of an operator.
 struct drain {
     std::string actor;
 };
 
-// Any process to one that may know a newer deployment than it: what does it know? Answered by `deployment_knowledge`,
-// so that the rows themselves are read from one process only.
+// Any process to one that may know a newer deployment: asks for the revisions that it knows. The reply,
+// `deployment_knowledge`, lets the requester fetch the rows from a single process.
 struct deployment_inquiry { };
-// To one that knows a newer deployment. Revisions are the store's.
+// Any process to one that knows a newer deployment: asks for the tables newer than these revisions of the store.
 struct deployment_request {
     std::uint64_t configurationRevision = 0;
     std::uint64_t serversRevision = 0;
 };
+// One row of a table of the store.
 struct stored_row {
     std::string key;
     std::string value;
     std::uint64_t revision = 0;
 };
-// A table is whole, or left out (revision 0) when the sender knows nothing newer.
+// Answers `deployment_request`. A table is complete, or omitted (revision 0) when the sender has none newer.
 struct deployment_reply {
     std::uint64_t configurationRevision = 0;
     std::vector<stored_row> configuration;
@@ -154,28 +159,29 @@
     std::vector<stored_row> servers;
 };
 
-// Whom a leader's message concerns: the rank obeys only if all of it holds. Groups that are formed anew may take each
-// other's members while their epochs count alike, so that no part of it suffices alone.
+// Addressee of a leader's message: a rank agent obeys only if every field matches. No single field suffices, because
+// newly formed groups may take over each other's members while their epochs are equal.
 struct order_scope {
-    std::uint64_t term = 0; // Agents obey the highest that they have seen in their group.
+    std::uint64_t term = 0; // Agents obey only the highest term that they have seen in their group.
     std::string group;
     std::uint64_t epoch = 0;
-    std::uint64_t life = 0; // Of the rank's engine, as the leader knows it; 0 where it was not told.
-    // Each order of one run of a leader has a higher number than those before, and a rank that has seen one carries out
-    // none below it: a copy of an order may wait at an agent that was gone round, and come after what followed it.
+    std::uint64_t life = 0; // Incarnation of the rank's engine as known to the leader; 0 if unknown.
+    // Identifies one run of the leader. Within a run, `serial` rises with each order, and a rank carries out no order
+    // with a lower serial than one it has seen: a copy delayed at a bypassed agent may arrive after later orders.
     std::uint64_t leaderRun = 0;
-    std::uint64_t serial = 0; // 0 for queries, which order nothing.
+    std::uint64_t serial = 0; // 0 for queries, which change nothing.
 };
 
-// The leading rank agent of a group to the others: asks for the state of a rank, and for how often its requests chose
-// each expert since the last answer to this term.
+// Leader of a group to a rank agent: asks for the state of the rank and, on request, for how often its requests chose
+// each expert since its last answer in this term.
 struct rank_query {
     order_scope scope;
     bool wantsDemand = false;
     bool wantsMap = false;
 };
+// Rank agent to the leader, in answer to a query or an order: the state of the rank.
 struct rank_state {
-    std::uint64_t term = 0; // The highest seen; above the asker's when it is refused.
+    std::uint64_t term = 0; // Highest term seen; above the requester's when the message is refused.
     std::string group;
     std::uint64_t epoch = 0;
     std::uint32_t rank = 0;
@@ -184,46 +190,48 @@
     std::uint64_t step = 0;
     std::uint64_t mapVersion = 0;
     std::uint64_t preparedVersion = 0;
-    std::uint64_t armedVersion = 0; // Armed, or perhaps: an order that was not answered may still be carried out.
+    std::uint64_t armedVersion = 0; // Armed or possibly armed: an unanswered order may still be carried out.
     std::uint64_t armedStep = 0;
     bool isArmUncertain = false;
     std::uint64_t heldStep = 0;
-    std::uint64_t highestVersion = 0; // Ever offered to this rank in this epoch, as far as the agent knows.
-    double pace = 1; // Above 1 the engine is slow.
-    std::uint32_t requests = 0; // Running and waiting.
-    bool lacksBase = false; // The map that the offered changes apply to is not known here: send the whole map.
-    std::vector<std::uint32_t> demand; // By set and expert; empty unless asked for.
-    std::vector<std::vector<std::uint32_t>> map; // Experts of this rank in use, by set; empty unless asked for.
-    std::uint64_t life = 0; // Of the engine: Unix milliseconds of its start; 0 where it does not tell.
-    std::uint64_t preparedTerm = 0; // Whose order prepared `preparedVersion`; 0 where that is not known.
-    std::uint32_t target = 0; // Of the `relay_target` that this answers, where the order came by way of other ranks.
-};
-// What one rank holds of one set.
+    std::uint64_t highestVersion = 0; // Highest map version offered to this rank in this epoch, as known to the agent.
+    double pace = 1; // Duration of passes relative to normal; the engine is slow above 1.
+    std::uint32_t requests = 0; // Requests running and waiting.
+    bool lacksBase = false; // The base map of the offered changes is unknown here; the whole map is needed.
+    std::vector<std::uint32_t> demand; // Counts by set and expert; empty unless requested.
+    std::vector<std::vector<std::uint32_t>> map; // Experts in use on this rank, by set; empty unless requested.
+    std::uint64_t life = 0; // Incarnation of the engine: its start in Unix milliseconds; 0 if not reported.
+    std::uint64_t preparedTerm = 0; // Term of the order that prepared `preparedVersion`; 0 if unknown.
+    std::uint32_t target = 0; // Number of the `relay_target` that this answers, for relayed orders.
+};
+// Experts of one set that one rank holds.
 struct rank_row {
     std::uint32_t set = 0;
     std::uint32_t rank = 0;
     std::vector<std::uint32_t> experts;
 };
-// One step of a map change for the addressed rank. The answer is `rank_state` once the step is confirmed or failed.
+// Asks the addressed rank to prepare a new expert map. Answered by `rank_state` once that is confirmed or has failed.
 struct rank_prepare {
     order_scope scope;
     std::uint64_t version = 0;
-    std::vector<std::vector<std::vector<std::uint32_t>>> map; // Experts, by set and rank; empty for changes to another.
-    std::uint64_t baseVersion = 0; // The map that `changes` apply to.
+    // Experts by set and rank; empty if `changes` are sent instead.
+    std::vector<std::vector<std::vector<std::uint32_t>>> map;
+    std::uint64_t baseVersion = 0; // Version of the map that `changes` apply to.
     std::vector<rank_row> changes;
 };
+// Asks the addressed rank to switch to a prepared map at `step`.
 struct rank_arm {
     order_scope scope;
     std::uint64_t version = 0;
     std::uint64_t step = 0;
 };
 
-// A prepared map that not every rank can take any more.
+// Withdraws a prepared map that not every rank of the group can switch to any more.
 struct rank_disarm {
     order_scope scope;
     std::uint64_t version = 0;
 };
-// Lets the group begin pass `step`, at which the addressed rank holds it.
+// Lets the group begin pass `step`, at which the addressed rank is holding it.
 struct rank_release {
     order_scope scope;
     std::uint64_t step = 0;
@@ -231,40 +239,40 @@
 
 using rank_order = std::variant<rank_query, rank_prepare, rank_arm, rank_disarm, rank_release>;
 
-// One of the ranks that a relayed order is for.
+// One of the ranks that a relayed order is addressed to.
 struct relay_target {
     std::uint32_t number = 0; // Chosen by the leader; the answer repeats it.
-    std::string host; // Where the rank's agent listens, on the port that all agents share.
-    std::uint64_t life = 0; // For the scope of the order to this rank.
-    std::uint32_t dataCentre = 0; // Numbered by the leader.
-    bool tellsDemand = false; // Where the order asks for counts, this rank is one that tells its own.
+    std::string host; // Host of the rank's agent, which listens on the port common to all agents.
+    std::uint64_t life = 0; // Incarnation for the scope of the order to this rank.
+    std::uint32_t dataCentre = 0; // Number assigned by the leader.
+    bool tellsDemand = false; // Whether this rank reports its counts if the order asks for them.
 };
-// A leader's order to many ranks, handed on from agent to agent: `own` is for the addressed one, which hands the order
-// on to `others`. While they work it sends `acknowledge` time and again, and at last `relayed_answers`.
+// A leader's order to many ranks, relayed from agent to agent: `own` is the target at the receiver, which relays the
+// order to `others`. It sends `acknowledge` repeatedly as a keep-alive while they work, and finally `relayed_answers`.
 struct relayed_order {
-    rank_order order; // Its scope names no life: each target has its own.
+    rank_order order; // Its scope names no incarnation: each target has its own.
     relay_target own;
     std::vector<relay_target> others;
     std::uint64_t timeLeftMs = 0;
 };
-// What tells one rank's state from those of the others, in a group in which they agree on everything else.
+// Differences between one rank's state and the state common to most ranks of a group.
 struct rank_difference {
     std::uint32_t target = 0;
     std::uint32_t rank = 0;
     std::uint64_t life = 0;
-    std::int64_t steps = 0; // Beyond the state that they have in common.
+    std::int64_t steps = 0; // Steps beyond those of the common state.
     std::uint32_t requests = 0;
     std::uint32_t pacePercent = 100;
 };
-// The states of many ranks. What most of them agree on travels once: see `group/relayed_states.h`.
+// States of many ranks. The fields on which most of them agree are sent once: see `group/relayed_states.h`.
 struct relayed_answers {
     rank_state common;
     std::vector<rank_difference> alike;
     std::vector<rank_state> others;
-    std::vector<std::uint32_t> demand; // Summed over the ranks that were asked for their counts.
+    std::vector<std::uint32_t> demand; // Sum over the ranks that were asked for their counts.
 };
 
-// The store had nothing newer than `revision` of a table so long ago.
+// States that the store had nothing newer than `revision` of a table `ageMs` ago.
 struct store_confirmation {
     static constexpr std::uint64_t never = std::numeric_limits<std::uint64_t>::max();
 
@@ -272,95 +280,97 @@
     std::uint64_t ageMs = never;
 };
 
-// A gateway's part in following the store for all. Travels as its number.
+// Part of a gateway in following the store on behalf of all processes. Encoded as its number.
 enum class store_duty : std::uint32_t {
     Unknown, // No other process is known to follow the store.
-    Check, // Follows it, and asks in between whether what polls tell can be believed, for all.
-    Follow, // Follows it; another one asks.
-    Rest, // Others follow it and ask; this one only if nothing is heard of them.
+    Check, // Follows the store and verifies between polls, for all, that their results are reliable.
+    Follow, // Follows the store; another gateway verifies the results.
+    Rest, // Other gateways follow and verify; this one does so only if no updates arrive from them.
 };
 
-// What a gateway knows of the deployment, so that others hear who knows more than they do.
+// Revisions of the deployment that a process knows, from which others learn that it has newer ones.
 struct deployment_knowledge {
     store_confirmation configuration;
     store_confirmation servers;
-    bool isServed = false; // It follows the store itself, which answers it.
+    bool isServed = false; // The process follows the store itself, and the store answers it.
     std::string dataCentre;
 };
 
-// Gateway to rank agent, as a datagram: tell me your engine's load for a while.
+// Gateway to rank agent, as a datagram: subscribes to the load of its engine for a limited time.
 struct load_subscribe {
     deployment_knowledge knows;
 };
-// What a backend server has said in its answers of the requests that it takes from all gateways together.
+// Rate limit that a backend server has stated in its responses, for all gateways together.
 struct server_limit {
     std::string server; // Its registered name.
-    std::uint64_t life = 0; // Unix milliseconds of its start; 0 where it was not told.
+    std::uint64_t life = 0; // Incarnation: Unix milliseconds of the server's start; 0 if not reported.
     double perSecond = 0;
-    bool isNamed = false; // False: it names no limit any more.
-    std::uint64_t ageMs = 0; // Since a gateway heard it.
+    bool isNamed = false; // False once the server states no limit any more.
+    std::uint64_t ageMs = 0; // Time since a gateway received the statement.
 };
-// Gateway to rank agent, as a datagram: what a server has said, and whether the gateway wants to send it a request.
+// Gateway to rank agent, as a datagram: reports a server's limit and may ask for a permit to send it a request.
 struct permit_request {
     server_limit limit;
     bool wantsPermit = false;
     std::uint64_t serial = 0; // The reply repeats it.
 };
-// Rank agent to gateway, as a datagram: at once, and again when the permit is due.
+// Rank agent to gateway, as a datagram: sent immediately, and again when the permit is due.
 struct permit_reply {
-    server_limit limit; // The last word on the server.
+    server_limit limit; // The newest known limit of the server.
     std::uint64_t serial = 0;
     bool isGranted = false;
-    std::uint64_t expectedInMs = 0; // Where it is not granted: until it will be.
-    std::uint32_t askers = 0; // Gateways that wait for permits of the server.
+    std::uint64_t expectedInMs = 0; // If not granted: expected time until it is.
+    std::uint32_t askers = 0; // Number of gateways waiting for permits of the server.
 };
 
-// Rank agent to the gateways that subscribed, as a datagram.
+// Rank agent to the subscribed gateways, as a datagram: the load of its engine and the state of its group.
 struct load_news {
-    std::string engine; // Address at which the engine takes requests.
+    std::string engine; // Address at which the engine accepts requests.
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::uint64_t usedTokens = 0;
     std::uint64_t totalTokens = 0;
     double pace = 1;
-    std::string group; // Empty for an engine without one.
+    std::string group; // Empty for an engine outside any group.
     std::uint64_t epoch = 0;
     std::uint64_t step = 0;
     bool isOpen = true;
-    std::uint32_t ranks = 0; // Of the group.
-    std::uint32_t subscribers = 0; // Gateways that this agent knows.
-    std::string newsAt; // A gateway that knows more of the deployment than the addressed one; empty for none.
-    std::uint64_t life = 0; // Of the engine: Unix milliseconds of its start; 0 where it does not tell.
-    // The youngest that any gateway has told this agent.
+    std::uint32_t ranks = 0; // Number of ranks of the group.
+    std::uint32_t subscribers = 0; // Number of gateways subscribed to this agent.
+    std::string newsAt; // Address of a gateway with a newer deployment than the receiver's; empty if none.
+    std::uint64_t life = 0; // Incarnation of the engine: its start in Unix milliseconds; 0 if not reported.
+    // The newest confirmations that any gateway has reported to this agent.
     store_confirmation configuration;
     store_confirmation servers;
-    std::uint32_t duty = 0; // The `store_duty` of the addressed gateway.
-    std::uint64_t crashes = 0; // Digest of what this agent knows of requests under which servers crashed.
-    std::vector<server_limit> limits; // Of servers for which this agent issues permits.
+    std::uint32_t duty = 0; // The `store_duty` of the receiving gateway.
+    std::uint64_t crashes = 0; // Digest of this agent's records of requests that were in flight when a server crashed.
+    std::vector<server_limit> limits; // Limits of the servers for which this agent issues permits.
 };
 
-// A request was at a backend server when that crashed; see `quarantine/crash_history.h`.
+// A request that was in flight at a backend server when that crashed; see `quarantine/crash_history.h`.
 struct crash_entry {
-    std::string request; // Its fingerprint.
-    std::string server; // The life of the server.
+    std::string request; // Fingerprint of the request.
+    std::string server; // Registered name and incarnation of the server.
     std::uint64_t ageMs = 0;
     bool isCleared = false;
 };
-// Between gateways and rank agents, as a datagram: crashes that the sender knows of, perhaps in several parts.
+// Between gateways and rank agents, as a datagram: crashes known to the sender, possibly split over several datagrams.
 struct crash_report {
     std::vector<crash_entry> entries;
-    bool wantsAll = false; // The receiver is to tell all that it knows in turn.
+    bool wantsAll = false; // Asks the receiver to report all crashes that it knows in return.
 };
 
-// Gateway to rank agent: does anybody listen at this address, which is that of a backend server?
+// Gateway to rank agent: asks whether a process listens at this address of a backend server.
 struct port_inquiry {
     std::string address;
 };
+// Answers `port_inquiry`.
 struct port_finding {
-    bool isKnown = false; // False where the agent cannot tell; the rest says nothing then.
+    bool isKnown = false; // False if the agent cannot determine it; the other fields are meaningless then.
     bool isRefused = false;
 };
 
+// An error in place of a reply; see `base/error.h`.
 struct problem {
     std::uint32_t kind = 0;
     std::string message;
@@ -373,11 +383,11 @@
     rank_release, rank_disarm, relayed_order, relayed_answers, crash_report, port_inquiry, port_finding,
     deployment_inquiry, deployment_knowledge, permit_request, permit_reply>;
 
-// What every message carries besides its body.
+// A message: the sender's identity and configuration version, and the body.
 struct message {
     vm_id sender;
     incarnation senderLife;
-    config_version version; // The highest configuration that the sender has in force.
+    config_version version; // Version of the configuration that the sender has in force.
     body content;
 };
 
--- a/coltsfootbend/wire/peer.cpp
+++ b/coltsfootbend/wire/peer.cpp
@@ -76,7 +76,7 @@
     auto opened = h2_connection::connect(m_runtime, address, m_tls ? m_tls() : tls_context {}, deadline);
     if (!opened)
         return opened;
-    // Two fibers may have connected at once; one connection is enough for both.
+    // Two fibers may have connected concurrently; they share the first connection.
     if (const auto known = m_connections.find(address); known != m_connections.end() && known->second->isOpen()) {
         (*opened)->close();
         return known->second;
--- a/coltsfootbend/wire/peer.h
+++ b/coltsfootbend/wire/peer.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// How the system's processes talk: a stream of messages opened by one side and answered by the other. `peer_client`
-// keeps one connection to each address; `peer_service` hands each stream that comes in to whoever registered for its
-// first message. Not for callers, operators or backend servers.
+// Streams of messages between the processes of the system, opened by one side and answered by the other. `peer_client`
+// keeps one connection to each address; `peer_service` passes each incoming stream to the handler that is registered
+// for the type of its first message. Not for callers, operators or backend servers.
 //
 //     peers->on<wire::revoke>([](peer_stream& stream, const wire::message&, const wire::revoke& asked) {
 //         stream.send(wire::revoke_reply { verdict }, true);
@@ -19,7 +19,7 @@
 
 namespace coltsfootbend {
 
-// Who a process is towards others, and what it does with what every message says of its sender.
+// Identity that a process sends in each message, and the callback for each message that it receives.
 struct peer_identity {
     vm_id vm;
     incarnation life;
@@ -32,11 +32,11 @@
 public:
     peer_stream(h2_stream_ptr, const peer_identity&);
 
-    // Fails with `Lost` once the other side is gone.
+    // Sends a message; `last` ends this side of the stream. Fails with `Lost` once the other side has disconnected.
     result<void> send(wire::body, bool last);
 
     // Returns the next message. Fails with `Lost` when the stream has ended or broken, with `TimedOut` at `deadline`,
-    // and with `BadInput` when what came is no message.
+    // and with `BadInput` when the received bytes are not a message.
     result<wire::message> receive(time_point deadline);
 
     void reset() { m_stream->reset(); }
@@ -47,20 +47,21 @@
     wire::message_decoder m_decoder;
 };
 
+// Opens streams to other processes, over one connection to each address.
 class peer_client {
 public:
     peer_client(fiber_runtime&, const peer_identity&);
 
-    // `tls` is asked for at each new connection; none for plain TCP.
+    // Sets the source of the TLS context, called for each new connection; none for plain TCP.
     void setTls(std::function<tls_context()> tls) { m_tls = std::move(tls); }
 
     // Opens a stream and sends its first message. Fails with `Unavailable` when nothing was sent.
     result<std::unique_ptr<peer_stream>> open(const endpoint&, wire::body first, bool last, time_point deadline);
 
-    // Sends one message and waits for one. Fails as `open` and `peer_stream::receive` do.
+    // Sends one message and waits for one reply. Fails as `open` and `peer_stream::receive` do.
     result<wire::message> ask(const endpoint&, wire::body, time_point deadline);
 
-    // Closes the connection to `address`, which may have gone silent; the next use makes a new one.
+    // Closes the connection to `address`, which may be unresponsive; the next use opens a new one.
     void drop(const endpoint& address);
 
     std::uint64_t bytesMoved() const;
@@ -76,6 +77,7 @@
     std::uint64_t m_bytesOfClosed = 0;
 };
 
+// Accepts streams from other processes and dispatches them to the registered handlers.
 class peer_service final : public service {
 public:
     struct options {
@@ -90,7 +92,7 @@
     result<void> start(kernel&) override;
     void stop() override;
 
-    // Registers what is done with streams that begin with a `Message`. Call before `start` of the process ends.
+    // Registers the handler of streams that begin with a `Message`. Call before `start` of the process ends.
     template <typename Message> void on(std::function<void(peer_stream&, const wire::message&, const Message&)> handler)
     {
         const auto index = wire::body(Message {}).index();
@@ -113,7 +115,7 @@
     std::shared_ptr<listener> m_listener;
 };
 
-// Sends an error as a message.
+// Returns the message that reports `error` to a peer.
 wire::problem toProblem(const error&);
 
 } // namespace coltsfootbend
