--- a/coltsfootbend/config/config_service.cpp
+++ b/coltsfootbend/config/config_service.cpp
@@ -44,7 +44,7 @@
             (void)stream.send(m_state.replyTo(asked.have), true);
         });
     m_peers->on<wire::config_notice>([](peer_stream& stream, const wire::message&, const wire::config_notice&) {
-        // The envelope's version has already done the work.
+        // `noteVersion` has already started the pull, because the version is part of every message.
         (void)stream.send(wire::acknowledge {}, true);
     });
     if (m_settings.entry)
@@ -82,7 +82,7 @@
     const auto reply
         = m_peers->client().ask(entry.address, wire::config_request { before }, clock_type::now() + pullLimit);
     if (!reply)
-        return; // The next message says so again.
+        return; // The next message with a higher version triggers another pull.
     const auto* steps = std::get_if<wire::config_reply>(&reply->content);
     if (!steps)
         return;
@@ -93,7 +93,7 @@
 
 void config_service::pollLoop()
 {
-    // The VMs poll spread over the interval, whenever they were started.
+    // Spreads the polls of the VMs over the interval, even if all were started at the same time.
     const auto offset = std::chrono::milliseconds(stableHash(m_settings.vm.text()) % 1000);
     bool isFirst = true;
     while (!m_stopped) {
@@ -107,7 +107,7 @@
                 adoptFirstConfiguration(deadline);
             isFirst = false;
         } else if (before.isNone()) {
-            // Fresh, and the platform is down: whoever runs already can tell.
+            // Without a configuration and without the platform, the running entry VMs are the only source.
             for (const auto& entry : m_settings.entries) {
                 if (entry.id != m_settings.vm)
                     pullFrom(entry);
@@ -128,7 +128,7 @@
     std::ifstream file(m_settings.firstConfigurationFile);
     std::ostringstream text;
     text << file.rdbuf();
-    // Every entry VM may try; the id makes it one patch.
+    // Every entry VM may submit this patch; their common id ensures that it is accepted only once.
     const config_patch patch {
         .id = patch_id("first"), .against = {}, .actor = "settings", .mergePatch = text.str(), .acceptedAtMs = 0
     };
@@ -168,7 +168,7 @@
         if (entry.id == m_settings.vm)
             continue;
         m_runtime.spawn([this, address = entry.address] {
-            // Best effort: the poll and the version on every message reach whoever misses this.
+            // Best effort: an entry VM that misses the notice learns of the version from its poll or any other message.
             (void)m_peers->client().ask(address, wire::config_notice {}, clock_type::now() + noticeLimit);
         });
     }
--- a/coltsfootbend/config/config_service.h
+++ b/coltsfootbend/config/config_service.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// Keeps this process's configuration in force and spreads it. In an entry VM it also polls the platform's table and
-// accepts patches. Version numbers ride on every message; whoever hears of a higher one pulls the missing steps from
-// the entry VM that said so. Found by the name "configuration".
+// Keeps the configuration of this process up to date and distributes it. In an entry VM it also polls the platform's
+// table and accepts patches. Every message carries its sender's version; a process that receives a higher one from an
+// entry VM pulls the missing steps from that VM. Registered in the kernel as "configuration".
 //
 //     auto* configuration = kernel.find<config_service>("configuration");
-//     auto current = configuration->current(); // a shared_ptr; stays as it is while held
+//     auto current = configuration->current(); // a shared_ptr to an immutable value
 
 #include "coltsfootbend/config/config_store.h"
 #include "coltsfootbend/settings/settings.h"
@@ -30,7 +30,7 @@
     config_version version() const { return m_state.version(); }
     const config_state& state() const { return m_state; }
 
-    // Accepts a patch, puts it in force here and tells the other entry VMs. Fails as `config_store::accept`.
+    // Accepts a patch, puts it in force here and notifies the other entry VMs. Fails as `config_store::accept` does.
     result<config_version> accept(const config_patch&, time_point deadline);
     result<std::vector<wire::config_step>> history(config_version first, time_point deadline);
 
@@ -38,7 +38,7 @@
     void onChange(std::function<void()> listener) { m_listeners.push_back(std::move(listener)); }
 
     http_platform* platform() { return m_platform.get(); }
-    // When the platform's table last answered; the start of the process before it has.
+    // Returns when the platform's table last answered, or the start of the process before its first answer.
     time_point platformHeardAt() const { return m_platformHeardAt; }
 
 private:
--- a/coltsfootbend/config/config_store.cpp
+++ b/coltsfootbend/config/config_store.cpp
@@ -47,7 +47,7 @@
 
 std::string nameOfBase(config_version version, const patch_id& writer)
 {
-    // Two that race write two objects; only the one that the row names counts.
+    // Concurrent writers write separate objects; only the one that the row names is used.
     return "configuration/document-" + std::to_string(version.number()) + "-" + sha256Hex(writer.text()).substr(0, 16);
 }
 
@@ -59,13 +59,13 @@
 
 } // namespace
 
-// What the row says.
+// Contents of the row.
 struct config_store::stored {
     std::uint64_t revision = 0;
     config_version version;
     config_version baseVersion;
     std::string baseObject;
-    // Object that holds the steps before `steps`, which itself names the one before; empty at the beginning.
+    // Name of the object with the steps before `steps`, which in turn names the object before it; empty for the first.
     std::string olderSteps;
     std::vector<wire::config_step> steps;
     bool unchanged = false;
@@ -170,7 +170,7 @@
         const auto holdersBefore = state.current()->holders;
         if (auto applied = state.apply(step); !applied)
             return tl::unexpected(applied.error());
-        // A key whose home moved would be granted anew by a home that has never heard of it.
+        // A key whose home changed would be granted again by the new home, which has no record of the first grant.
         if (!holdersBefore.empty() && holdersBefore != state.current()->holders) {
             return fail(error_kind::BadInput, "/holders cannot be changed once it is set: keys could run twice",
                 "Keep the list; a replaced VM keeps its id, and new workers need not be holders");
@@ -182,7 +182,7 @@
         const auto written = m_table.write(currentRow, *value, read->revision, deadline);
         if (written)
             return step.version;
-        // Stale: somebody was faster. Lost: it may be our own write that is there now. Either way, look.
+        // `Stale`: another writer came first. `Lost`: this write may have taken effect. Both require reading the row.
         mayBeAccepted = mayBeAccepted || written.error().kind != error_kind::Stale;
         if (written.error().kind == error_kind::Unavailable)
             return tl::unexpected(written.error());
--- a/coltsfootbend/config/config_store.h
+++ b/coltsfootbend/config/config_store.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Accepts patches and reads the configuration that the platform keeps. Accepting is one compare-and-set of one row; the
-// row holds the latest steps, and whole documents go to the object store first. A patch written against an old number
-// is refused; an answer that was lost is settled by reading back the patch's id, never by writing again blindly. Any
-// number of processes may accept at the same time. Not for spreading what was accepted: see `config/config_state.h`.
+// Accepts patches and reads the configuration that the platform stores. A patch is accepted by one compare-and-set of
+// one row, which holds the latest steps; whole documents are written to the object store before. A patch against an
+// old version is refused. If the answer to a write is lost, the patch's id is read back instead of writing again. Any
+// number of processes may accept concurrently. Distribution is the task of `config/config_state.h`.
 //
 //     config_store store(table, objects);
 //     auto accepted = store.accept({ .id = id, .against = version, .actor = "dilek", .mergePatch = patch }, deadline);
@@ -13,6 +13,7 @@
 
 namespace coltsfootbend {
 
+// A merge patch that an operator submits.
 struct config_patch {
     patch_id id;
     // The version that the patch was written against.
@@ -25,7 +26,8 @@
 class config_store {
 public:
     struct options {
-        // Steps kept in the row; when there are more, a whole document is written and the oldest go to the history.
+        // Most steps in the row. Beyond that, a whole document is written, the row keeps the last `stepsKept` steps,
+        // and the earlier ones move to the history.
         std::size_t maxSteps = 64;
         std::size_t stepsKept = 16;
         int maxTries = 4;
@@ -35,11 +37,11 @@
     config_store(table_service&, object_store&, const options&);
 
     // Accepts one patch, and returns its version; a patch whose id was accepted before returns that version again.
-    // Fails with `Stale` (and names the current version), `BadInput`, or `Lost` when it cannot be learned whether the
-    // patch was accepted: sending the same id again settles that.
+    // Fails with `Stale` (and names the current version), `BadInput`, or `Lost` when it is unknown whether the
+    // patch was accepted; submitting the same id again determines that.
     result<config_version> accept(const config_patch&, time_point deadline);
 
-    // Brings `state` to what the platform keeps. Never goes back.
+    // Advances `state` to the version that the platform stores. Never decreases the version.
     result<void> refresh(config_state& state, time_point deadline);
 
     // Returns the steps of the versions from `first` to the latest that are still kept, from the row and the history.
@@ -55,7 +57,7 @@
     table_service& m_table;
     object_store& m_objects;
     const options m_options;
-    // What `refresh` last saw and made of it, so that an unchanged row costs few bytes.
+    // Revision that `refresh` last read and the resulting version, so that an unchanged row is not transferred again.
     std::uint64_t m_seenRevision = 0;
     config_version m_seenVersion;
 };
--- a/coltsfootbend/config/config_store_test.cpp
+++ b/coltsfootbend/config/config_store_test.cpp
@@ -95,8 +95,8 @@
     EXPECT_EQ(fresh.current()->customers.size(), 30U);
 }
 
-// Operators race through several entry VMs while the platform goes down and loses answers. Every accepted patch is in
-// force in the end, none is merged onto a version it was not written against, and no reader ever goes back.
+// Concurrent operators patch through several entry VMs while the platform fails and loses answers. Every accepted patch
+// is finally in force, no patch is merged onto a version it was not written against, and no reader's version decreases.
 RC_GTEST_PROP(ConfigStore, RacingOperatorsLoseNothingAndMergeNothing, ())
 {
     memory_platform platform;
--- a/coltsfootbend/config/configuration.cpp
+++ b/coltsfootbend/config/configuration.cpp
@@ -17,7 +17,7 @@
 
 using json = nlohmann::json;
 
-// Reads one JSON object's fields; remembers the first thing that is wrong.
+// Reads the fields of one JSON object and records the first error.
 class object_reader {
 public:
     object_reader(const json& object, std::string path, std::optional<error>& problem)
@@ -214,7 +214,7 @@
     });
 }
 
-// What one part names must be there in the other.
+// Checks that every name that one section refers to is defined in the other.
 void checkReferences(object_reader& root, const configuration& read)
 {
     const auto checkVms = [&](const std::string& where, const std::vector<vm_id>& vms) {
--- a/coltsfootbend/config/configuration.h
+++ b/coltsfootbend/config/configuration.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The numbered configuration as the daemons use it: customers, deployments, backend servers, holders of claims,
+// The versioned configuration as the daemons use it: customers, deployments, backend servers, holders of claims,
 // operators and live events. It is written as one JSON document, changed by merge patches (RFC 7386), and checked as a
-// whole before it is accepted. Not for what a single process is told at start: see `settings/settings.h`.
+// whole before it is accepted. The start settings of a single process are in `settings/settings.h`.
 //
 //     auto configuration = parseConfiguration(config_version(7), document);
 
@@ -20,7 +20,7 @@
 namespace coltsfootbend {
 
 struct customer_config {
-    // Lower-case hexadecimal SHA-256 of the customer's key; the key itself is nowhere.
+    // Lower-case hexadecimal SHA-256 of the customer's key; the key itself is not stored.
     std::string keySha256;
     priority_class priority = 0;
     double weight = 1;
@@ -30,10 +30,10 @@
 
 struct deployment_config {
     deployment_kind kind = deployment_kind::Engine;
-    // Engines: the model that callers name. Plain services: the path prefix.
+    // Engines are selected by the model that a request names, plain services by a path prefix.
     std::string model;
     std::string pathPrefix;
-    // May a request without a key be run again? GET, HEAD, PUT and DELETE always may.
+    // Whether a request without a key may be run again. GET, HEAD, PUT and DELETE always may.
     bool idempotent = false;
     // Expected time of one request, or of one token for engines.
     std::chrono::microseconds expectedService {};
@@ -43,7 +43,7 @@
 struct worker_config {
     std::string address;
     data_centre_id dataCentre;
-    // The engine refuses orders with an old fencing number by itself.
+    // Whether the engine itself refuses orders with an old fencing number.
     bool checksOrders = false;
 };
 
@@ -66,14 +66,14 @@
     std::map<customer_id, customer_config> customers;
     std::map<deployment_id, deployment_config> deployments;
     std::map<vm_id, worker_config> workers;
-    // Worker daemons that keep claims. Once set it stays, for a change would move keys; see
-    // docs/design/AT-MOST-ONCE.md.
+    // Worker daemons that store claims. Cannot be changed once set, because a change would move keys to other homes;
+    // see docs/design/AT-MOST-ONCE.md.
     std::vector<vm_id> holders;
     std::map<std::string, operator_config> operators;
     std::map<std::string, event_config> events;
 };
 
-// Reads and checks a whole document. The error names the path of the first thing that is wrong. O(length).
+// Parses and validates a whole document. The error names the path of the first invalid value. O(length).
 result<configuration> parseConfiguration(config_version, std::string_view document);
 
 // Returns the document after one merge patch. Fails with `BadInput` when either is not a JSON object.
--- a/coltsfootbend/settings/settings.cpp
+++ b/coltsfootbend/settings/settings.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Reads the keys of one table, and collects what is wrong with them.
+// Reads the keys of one table and collects the errors in them.
 class table_reader {
 public:
     table_reader(const toml::table& table, std::string path, std::vector<error>& errors)
@@ -136,7 +136,7 @@
             std::move(remedy) });
     }
 
-    // Call last: a key that nobody asked for is most likely misspelt.
+    // Reports the keys that were not read, which are most likely misspelt. Call last.
     void rejectOthers()
     {
         for (const auto& [key, node] : m_table) {
@@ -223,7 +223,6 @@
 {
     rank_agent_settings agent;
     agent.engine = reader.address("engine");
-    // Found on groups of twelve ranks: see the figures of the commits that set it.
     agent.gainPerGigabyte = reader.fraction("gain_per_gigabyte", 0.012, 0, 1000);
     reader.rejectOthers();
     return agent;
@@ -307,7 +306,7 @@
     settings.logDirectory = root.text("log_directory", false);
     settings.firstConfigurationFile = root.text("first_configuration", false);
     settings.drainLimit = std::chrono::milliseconds(root.number("drain_limit_ms", 120'000, 0, 3'600'000));
-    // The same in seconds, for those who have it so.
+    // `drain_limit_s` is the same limit in seconds and takes precedence.
     if (const double seconds = root.fraction("drain_limit_s", 0, 0, 3600); seconds > 0)
         settings.drainLimit = std::chrono::milliseconds(std::lround(seconds * 1000));
     settings.keyLifetime = std::chrono::milliseconds(root.number("key_lifetime_ms", 600'000, 1000, 86'400'000));
--- a/coltsfootbend/settings/settings.h
+++ b/coltsfootbend/settings/settings.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// What one process is told when it starts: who it is, where it listens, whom it talks to. Read from a TOML file and
-// checked as a whole; every complaint names the key, its line and the remedy. Not for what operators change while the
-// system runs: that is the numbered configuration, see `config/configuration.h`.
+// Start settings of one process: its identity, its listening addresses and its peers. Read from a TOML file and
+// validated as a whole; every error names the key, its line and the remedy. Values that operators change while the
+// system runs belong to the versioned configuration, see `config/configuration.h`.
 //
 //     auto settings = parseSettings(text);
 //     if (!settings)
@@ -19,7 +19,7 @@
 
 namespace coltsfootbend {
 
-// Another VM of the system, as the settings know it.
+// Another VM of the system.
 struct peer_settings {
     vm_id id;
     data_centre_id dataCentre;
@@ -29,7 +29,7 @@
 struct tls_settings {
     std::string certificateFile;
     std::string keyFile;
-    // Certificates that other processes' certificates must be signed by.
+    // File of the authorities that must have signed the certificates of other processes.
     std::string authorityFile;
 };
 
@@ -54,28 +54,28 @@
     std::size_t maxAnswerBytes = 0;
 };
 
-// What all gateways together may send again, beside the first sending of each request.
+// Retry budget of all gateways together; the first attempt of a request does not count.
 struct retry_settings {
-    double ratio = 0; // Of the requests in a window.
+    double ratio = 0; // Retries allowed in a window, as a fraction of its requests.
     duration window = std::chrono::seconds(10);
-    double extra = 0; // On top, in each window.
+    double extra = 0; // Retries allowed in each window in addition to the ratio.
 };
 
-// The entry of a deployment that sends straight to backend servers; see `gateway/gateway_service.h`.
+// Settings of a gateway, which sends requests directly to backend servers; see `gateway/gateway_service.h`.
 struct gateway_settings {
     endpoint callers;
-    // Answers whether this process is ready, and its metrics at /metrics.
+    // Address that serves the readiness of this process, and its metrics at /metrics.
     endpoint health;
     std::size_t maxConnections = 2048;
     retry_settings retries;
 };
 
-// The agent beside one engine; see `group/rank_service.h`.
+// Settings of the agent that runs beside one engine; see `group/rank_service.h`.
 struct rank_agent_settings {
     endpoint engine;
-    // By how much the load of the busiest rank over the mean, summed over the sets, has to fall for each gigabyte of
-    // experts that is copied, times the root of the number of ranks. Users who mind the cost of rebalancing raise it,
-    // those who mind the slowest rank lower it.
+    // Required reduction of the load of the busiest rank over the mean, summed over the sets, for each gigabyte of
+    // experts that is copied, times the square root of the number of ranks. A higher value reduces the cost of
+    // rebalancing, a lower one the load of the slowest rank.
     double gainPerGigabyte = 0;
 };
 
@@ -88,7 +88,7 @@
 struct daemon_settings {
     vm_id vm;
     data_centre_id dataCentre;
-    // Where other processes of the system reach this one.
+    // Address at which the other processes of the system reach this one.
     endpoint peers;
     std::optional<tls_settings> peerTls;
     // All entry VMs.
@@ -98,28 +98,28 @@
     std::optional<worker_settings> worker;
     std::optional<gateway_settings> gateway;
     std::optional<rank_agent_settings> rankAgent;
-    // The store whose tables are followed, for gateways and rank agents.
+    // Store whose tables gateways and rank agents follow.
     std::optional<endpoint> deploymentStore;
-    // Addresses of VMs that run such processes; their peer port is the same as this process's.
+    // Addresses of VMs that run gateways or rank agents; they use the same peer port as this process.
     std::vector<endpoint> peerHints;
-    // For trials on one machine: the platform's services and an engine inside this process.
+    // Stand-ins inside this process for the platform's services and an engine, for trials on one machine.
     std::optional<endpoint> platformStandin;
     std::optional<engine_standin_settings> engineStandin;
     std::string logDirectory;
-    // A configuration to start from when the platform's table has none yet.
+    // Configuration that is submitted as the first one when the platform's table has none yet.
     std::string firstConfigurationFile;
     std::chrono::milliseconds drainLimit {};
     std::chrono::milliseconds keyLifetime {};
 };
 
-// Reads settings. O(length).
+// Parses and validates settings. O(length).
 tl::expected<daemon_settings, std::vector<error>> parseSettings(std::string_view toml);
 
 // As `parseSettings`, from a file.
 tl::expected<daemon_settings, std::vector<error>> loadSettings(const std::string& path);
 
-// Takes over from `next` what a running process can change: limits, retries, weights. Returns which of the other
-// settings differ, separated by commas; they need a restart.
+// Applies from `next` the settings that a running process can change: limits, retries, weights. Returns the names of
+// the other settings that differ, separated by commas; those need a restart.
 std::string takeReloadable(daemon_settings& current, const daemon_settings& next);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/store/http_platform.cpp
+++ b/coltsfootbend/store/http_platform.cpp
@@ -41,7 +41,7 @@
 
 void http_platform::pause(int attempt, time_point deadline)
 {
-    // Full jitter: after an outage the VMs do not come back in step.
+    // Full jitter, so that the VMs do not retry at the same moment after an outage.
     const auto most = std::chrono::duration_cast<std::chrono::microseconds>(m_options.firstPause).count() << attempt;
     const std::chrono::microseconds wait(std::uniform_int_distribution<std::int64_t>(0, most)(m_random));
     m_runtime.sleepUntil(std::min(deadline, clock_type::now() + wait));
--- a/coltsfootbend/store/http_platform.h
+++ b/coltsfootbend/store/http_platform.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// The platform's table service and object store over HTTP, as docs/PLATFORM.md describes them. Deadlines bound every
-// call; reads are tried again with jitter, writes never (their callers settle them by reading back).
+// The platform's table service and object store over HTTP, as docs/PLATFORM.md describes them. Every call is
+// bounded by a deadline. Reads are retried with jitter; writes are never retried, because their callers determine the
+// outcome by reading back.
 //
 //     http_platform platform(runtime, address, { .seed = 1 });
 
--- a/coltsfootbend/store/standin.cpp
+++ b/coltsfootbend/store/standin.cpp
@@ -129,7 +129,7 @@
     if (m_platform.faults().delay > duration::zero())
         m_runtime.sleepFor(m_platform.faults().delay);
     const auto response = respond(request);
-    // A lost answer is lost for the other side too: it sees its connection break.
+    // Simulates a lost answer by closing the connection.
     if (response.head.status == 0)
         responder.abort();
     else
--- a/coltsfootbend/store/standin.h
+++ b/coltsfootbend/store/standin.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Plays the platform's table service and object store, in memory, with faults that can be set: for tests and trials on
-// one machine, never for service. `memory_platform` is the state itself; `platform_standin` serves it over HTTP as
+// In-memory stand-in for the platform's table service and object store with configurable faults, for tests and trials
+// on one machine and never for production. `memory_platform` holds the state; `platform_standin` serves it over HTTP as
 // docs/PLATFORM.md describes.
 //
 //     memory_platform platform;
@@ -15,11 +15,12 @@
 
 namespace coltsfootbend {
 
+// Faults that the stand-in injects.
 struct platform_faults {
     bool down = false;
-    // The next so many writes take effect, and their answers are lost.
+    // Number of coming writes that take effect although their answers are lost.
     int loseNextAnswers = 0;
-    // Every answer takes this long (over HTTP only).
+    // Delay of every answer (over HTTP only).
     duration delay {};
 };
 
--- a/coltsfootbend/store/watched_store.h
+++ b/coltsfootbend/store/watched_store.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Tables that somebody else writes and that a process follows: all rows once, then each change in order. The store may
-// refuse this VM and serve others, be silent, or have forgotten the changes asked for. Not for what the system writes
-// itself: see `store/store.h`.
+// Interface to tables that the platform writes and a process follows: all rows once, then each change in order. The
+// store may refuse this VM while it serves others, be unresponsive, or have discarded the requested changes. Tables
+// that the system itself writes use `store/store.h`.
 //
 //     auto page = store.readAll(watched_table::BackendServers, deadline);
 //     auto next = store.changes(watched_table::BackendServers, page->revision, waitUntil, deadline, nullptr);
@@ -18,8 +18,8 @@
 namespace coltsfootbend {
 
 enum class watched_table {
-    Configuration, // One row: the operator's newest configuration.
-    BackendServers, // One row for each backend server that is registered.
+    Configuration, // One row, with the operator's newest configuration.
+    BackendServers, // One row for each registered backend server.
 };
 
 constexpr const char* toString(watched_table table)
@@ -27,7 +27,7 @@
     return table == watched_table::Configuration ? "configuration" : "backend_servers";
 }
 
-// Position in the order of all changes of the store; comparable between processes.
+// Position in the sequence of all changes of the store; comparable between processes.
 using store_revision = std::uint64_t;
 
 struct watched_row {
@@ -39,7 +39,7 @@
 
 struct row_page {
     std::vector<watched_row> rows;
-    // All changes up to this one are included.
+    // Includes all changes up to this revision.
     store_revision revision = 0;
 };
 
@@ -50,9 +50,9 @@
     // Returns every row of `table`. Fails with `Unavailable`, `Lost`, `TimedOut` or `Overloaded`.
     virtual result<row_page> readAll(watched_table table, time_point deadline) = 0;
 
-    // Returns the changes after `after`, as soon as there is one; an empty page when there was none by `waitUntil`. Its
-    // answer is waited for until `deadline`, or until `poll` is cancelled, which may be null. Fails with `Stale` when
-    // the store has forgotten them: read all again. Otherwise as `readAll`.
+    // Returns the changes after `after` as soon as there is one, or an empty page if there is none by `waitUntil`.
+    // Waits for the answer until `deadline` or until `poll`, which may be null, is cancelled. Fails with `Stale` if the
+    // store has discarded the changes, after which `readAll` is needed; otherwise fails as `readAll` does.
     virtual result<row_page> changes(
         watched_table table, store_revision after, time_point waitUntil, time_point deadline, cancellation* poll)
         = 0;
