--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The two commands that a newcomer needs. Each does all of the set-up on a fresh Debian machine.
+# Targets `demo` and `check` do all of the set-up on a fresh Debian machine.
 PACKAGES = cmake g++ ninja-build ccache clang-format clang-tidy curl openssl libboost-dev libboost-fiber-dev \
   libboost-context-dev libnghttp2-dev libtomlplusplus-dev libcxxopts-dev libgoogle-glog-dev libexpected-dev \
   libmsgpack-cxx-dev nlohmann-json3-dev libxxhash-dev libssl-dev librapidcheck-dev libgtest-dev libgmock-dev \
@@ -14,15 +14,15 @@
 	cmake -S . -B build -G Ninja -DCMAKE_CXX_COMPILER_LAUNCHER=ccache >/dev/null
 	cmake --build build
 
-# Runs the main job on embedded stand-ins.
+# Runs a demonstration of the main use case on embedded stand-ins.
 demo: build
 	scripts/demo.sh
 
-# Passes the tests, but for those of KNOWN-RED.txt.
+# Runs all tests except those listed in KNOWN-RED.txt.
 check: build
 	scripts/check.sh
 
-# Prints the figures that docs/ quotes.
+# Prints the measurements that docs/ quotes.
 measure: build
 	build/bin/coltsfootbend_measure
 
--- a/coltsfootbend/ctl/main.cpp
+++ b/coltsfootbend/ctl/main.cpp
@@ -1,4 +1,4 @@
-// The operators' command line. It talks to the operators' address of any entry VM.
+// Command line tool for operators. Sends requests to the operators' address of any entry VM.
 
 #include "coltsfootbend/config/configuration.h"
 #include "coltsfootbend/net/http.h"
@@ -19,7 +19,7 @@
 
 using json = nlohmann::json;
 
-// Documented in docs/operators/CTL.md.
+// Exit codes, as documented in docs/operators/CTL.md.
 enum exit_code : int { // NOLINT(performance-enum-size)
     Done = 0,
     Refused = 1,
@@ -101,7 +101,7 @@
     return status == gatewayTimeout ? NotKnown : Refused;
 }
 
-// Sends, prints errors, and hands a good answer to `print`.
+// Sends a request, passes a successful answer to `print`, prints errors, and returns the exit code.
 template <typename Print>
 int call(control_client& client, const std::string& method, const std::string& target, const std::string& body,
     const Print& print)
--- a/coltsfootbend/daemon/main.cpp
+++ b/coltsfootbend/daemon/main.cpp
@@ -1,4 +1,4 @@
-// The daemon: reads its settings, puts the services together that they ask for, and runs until a planned stop is done.
+// The daemon: reads its settings, creates the services that they configure, and runs until a planned stop is complete.
 
 #include "coltsfootbend/base/log_event.h"
 #include "coltsfootbend/engine/standin.h"
@@ -33,7 +33,7 @@
     return incarnation((static_cast<std::uint64_t>(device()) << 32U | device()) | 1U);
 }
 
-// One process: its kernel, and how it comes up and goes down.
+// Creates, starts and stops the services of the process.
 class daemon_process {
 public:
     daemon_process(daemon_settings settings, std::string settingsPath)
@@ -45,7 +45,7 @@
     {
     }
 
-    // Returns only when it could not be started.
+    // Returns only if the process could not be started.
     int run()
     {
         if (auto composed = compose(); !composed)
@@ -65,8 +65,8 @@
     }
 
 private:
-    // Fibers that still wait, for the store perhaps, refer to the services. Destroying those would leave them with
-    // references to nothing, and the end of the thread waits for all fibers. Nothing that lasts is in this process.
+    // Exits without destroying the services: fibers that still wait, such as for the store, refer to them, and the end
+    // of the thread would wait for all fibers. The process holds no durable state.
     [[noreturn]] static void endProcess()
     {
         stopLog();
@@ -125,7 +125,7 @@
         return {};
     }
 
-    // The processes that serve a deployment described in the platform's store.
+    // Adds the services of gateways and rank agents, whose deployment is described in the platform's store.
     void composeDeployment()
     {
         std::vector<endpoint> peers;
@@ -162,7 +162,7 @@
         });
     }
 
-    // Addresses and roles stay as they were at the start; what may change is taken over by whoever reads it next. Bad
+    // Reloads the settings. Addresses and roles need a restart; other changes apply when they are next read. Invalid
     // settings change nothing.
     void reload()
     {
@@ -191,7 +191,7 @@
         });
     }
 
-    // A planned stop: nothing in flight is cut off before the limit.
+    // Starts a planned stop: requests in flight may complete until the drain limit.
     void leave()
     {
         if (m_leaving)
