--- a/coltsfootbend/config/config_service.cpp
+++ b/coltsfootbend/config/config_service.cpp
@@ -151,7 +151,7 @@
     logEvent(log_event::ConfigurationAccepted,
         "version=" + std::to_string(accepted->number()) + " patch=" + patch.id.text() + " actor=" + patch.actor);
     changed(before);
-    tellPeers();
+    notifyPeers();
     return accepted;
 }
 
@@ -162,7 +162,7 @@
     return m_store->history(first, deadline);
 }
 
-void config_service::tellPeers()
+void config_service::notifyPeers()
 {
     for (const auto& entry : m_settings.entries) {
         if (entry.id == m_settings.vm)
--- a/coltsfootbend/config/config_service.h
+++ b/coltsfootbend/config/config_service.h
@@ -46,7 +46,7 @@
     void pullFrom(const peer_settings&);
     void pollLoop();
     void adoptFirstConfiguration(time_point deadline);
-    void tellPeers();
+    void notifyPeers();
     void changed(config_version before);
 
     fiber_runtime& m_runtime;
--- a/coltsfootbend/config/configuration.cpp
+++ b/coltsfootbend/config/configuration.cpp
@@ -26,16 +26,16 @@
         , m_problem(problem)
     {
         if (!object.is_object())
-            complain("", "must be an object");
+            addError("", "must be an object");
     }
 
     std::string text(const char* key, bool required = true)
     {
-        const auto* value = look(key, required);
+        const auto* value = findMember(key, required);
         if (!value)
             return {};
         if (!value->is_string() || value->get_ref<const std::string&>().empty()) {
-            complain(key, "must be a text that is not empty");
+            addError(key, "must be a text that is not empty");
             return {};
         }
         return value->get<std::string>();
@@ -43,61 +43,61 @@
 
     double number(const char* key, double fallback, double least, double most)
     {
-        const auto* value = look(key, false);
+        const auto* value = findMember(key, false);
         if (!value)
             return fallback;
         if (value->is_number() && value->get<double>() >= least && value->get<double>() <= most)
             return value->get<double>();
         std::ostringstream range;
         range << "must be a number from " << least << " to " << most;
-        complain(key, range.str());
+        addError(key, range.str());
         return fallback;
     }
 
     bool flag(const char* key)
     {
-        const auto* value = look(key, false);
+        const auto* value = findMember(key, false);
         if (value && !value->is_boolean())
-            complain(key, "must be true or false");
+            addError(key, "must be true or false");
         return value && value->is_boolean() && value->get<bool>();
     }
 
     std::vector<vm_id> vms(const char* key)
     {
         std::vector<vm_id> ids;
-        const auto* value = look(key, false);
+        const auto* value = findMember(key, false);
         if (!value)
             return ids;
         if (!value->is_array()) {
-            complain(key, "must be a list of VM ids");
+            addError(key, "must be a list of VM ids");
             return ids;
         }
         for (const auto& item : *value) {
             if (item.is_string())
                 ids.emplace_back(item.get<std::string>());
             else
-                complain(key, "must hold texts only");
+                addError(key, "must hold texts only");
         }
         return ids;
     }
 
     template <typename Visit> void each(const char* key, const Visit& visit)
     {
-        const auto* value = look(key, false);
+        const auto* value = findMember(key, false);
         if (!value)
             return;
         if (!value->is_object()) {
-            complain(key, "must be an object with one member for each id");
+            addError(key, "must be an object with one member for each id");
             return;
         }
         for (const auto& [id, member] : value->items()) {
             object_reader reader(member, m_path + "/" + key + "/" + id, m_problem);
             visit(id, reader);
-            reader.rejectOthers();
+            reader.rejectUnknownKeys();
         }
     }
 
-    void complain(const std::string& key, const std::string& what)
+    void addError(const std::string& key, const std::string& what)
     {
         if (!m_problem) {
             m_problem = error { error_kind::BadInput, m_path + (key.empty() ? "" : "/" + key) + " " + what,
@@ -105,24 +105,24 @@
         }
     }
 
-    void rejectOthers()
+    void rejectUnknownKeys()
     {
         if (!m_object.is_object())
             return;
         for (const auto& [key, value] : m_object.items()) {
             if (!m_known.contains(key))
-                complain(key, "is not known here");
+                addError(key, "is not known here");
         }
     }
 
 private:
-    const json* look(const char* key, bool required)
+    const json* findMember(const char* key, bool required)
     {
         m_known.insert(key);
         if (m_object.is_object() && m_object.contains(key))
             return &m_object.at(key);
         if (required)
-            complain(key, "is missing");
+            addError(key, "is missing");
         return nullptr;
     }
 
@@ -139,7 +139,7 @@
     const bool isHex = std::all_of(hash.begin(), hash.end(),
         [](char digit) { return (digit >= '0' && digit <= '9') || (digit >= 'a' && digit <= 'f'); });
     if (!hash.empty() && (hash.size() != hexDigits || !isHex))
-        reader.complain("key_sha256", "must be 64 lower-case hexadecimal digits (coltsfootbendctl hash-key)");
+        reader.addError("key_sha256", "must be 64 lower-case hexadecimal digits (coltsfootbendctl hash-key)");
     return hash;
 }
 
@@ -159,13 +159,13 @@
         auto& deployment = read.deployments[deployment_id(id)];
         const auto kind = reader.text("kind");
         if (kind != "engine" && kind != "plain")
-            reader.complain("kind", "must be \"engine\" or \"plain\"");
+            reader.addError("kind", "must be \"engine\" or \"plain\"");
         deployment.kind = kind == "plain" ? deployment_kind::Plain : deployment_kind::Engine;
         const bool isPlain = deployment.kind == deployment_kind::Plain;
         deployment.model = reader.text("model", !isPlain);
         deployment.pathPrefix = reader.text("path_prefix", isPlain);
         if (isPlain && !deployment.pathPrefix.empty() && deployment.pathPrefix.front() != '/')
-            reader.complain("path_prefix", "must start with '/'");
+            reader.addError("path_prefix", "must start with '/'");
         deployment.idempotent = reader.flag("idempotent");
         deployment.expectedService = std::chrono::microseconds(
             static_cast<std::int64_t>(reader.number("expected_service_us", 6000, 1, 600e6)));
@@ -179,7 +179,7 @@
         auto& worker = read.workers[vm_id(id)];
         worker.address = reader.text("address");
         if (!worker.address.empty() && !parseEndpoint(worker.address))
-            reader.complain("address", "must be an IP number and a port, such as 10.0.0.7:9000");
+            reader.addError("address", "must be an IP number and a port, such as 10.0.0.7:9000");
         worker.dataCentre = data_centre_id(reader.text("data_centre"));
         worker.checksOrders = reader.flag("checks_orders");
     });
@@ -192,7 +192,7 @@
         known.keySha256 = readHash(reader);
         const auto role = reader.text("role");
         if (role != "viewer" && role != "editor")
-            reader.complain("role", "must be \"viewer\" or \"editor\"");
+            reader.addError("role", "must be \"viewer\" or \"editor\"");
         known.role = role == "editor" ? operator_role::Editor : operator_role::Viewer;
     });
 }
@@ -210,7 +210,7 @@
         event.start = at("start_unix");
         event.end = at("end_unix");
         if (event.end <= event.start)
-            reader.complain("end_unix", "must be after start_unix");
+            reader.addError("end_unix", "must be after start_unix");
     });
 }
 
@@ -220,22 +220,22 @@
     const auto checkVms = [&](const std::string& where, const std::vector<vm_id>& vms) {
         for (const auto& vm : vms) {
             if (!read.workers.contains(vm))
-                root.complain(where, "names '" + vm.text() + "', which is not in /workers");
+                root.addError(where, "names '" + vm.text() + "', which is not in /workers");
         }
         if (std::set<vm_id>(vms.begin(), vms.end()).size() != vms.size())
-            root.complain(where, "names a VM twice");
+            root.addError(where, "names a VM twice");
     };
     for (const auto& [id, deployment] : read.deployments)
         checkVms("deployments/" + id.text() + "/workers", deployment.workers);
     checkVms("holders", read.holders);
     for (const auto& [id, event] : read.events) {
         if (!read.deployments.contains(event.deployment))
-            root.complain("events/" + id, "names '" + event.deployment.text() + "', which is not in /deployments");
+            root.addError("events/" + id, "names '" + event.deployment.text() + "', which is not in /deployments");
     }
     std::set<std::string> hashes;
     for (const auto& [id, customer] : read.customers) {
         if (!hashes.insert(customer.keySha256).second)
-            root.complain("customers/" + id.text(), "has the same key as another customer");
+            root.addError("customers/" + id.text(), "has the same key as another customer");
     }
 }
 
@@ -276,7 +276,7 @@
     read.holders = root.vms("holders");
     readOperators(root, read);
     readEvents(root, read);
-    root.rejectOthers();
+    root.rejectUnknownKeys();
     checkReferences(root, read);
     if (problem)
         return tl::unexpected(*problem);
--- a/coltsfootbend/daemon/main.cpp
+++ b/coltsfootbend/daemon/main.cpp
@@ -27,7 +27,7 @@
 constexpr int exitSettings = 2;
 constexpr int exitStart = 3;
 
-incarnation newLife()
+incarnation drawIncarnation()
 {
     std::random_device device;
     return incarnation((static_cast<std::uint64_t>(device()) << 32U | device()) | 1U);
@@ -39,7 +39,7 @@
     daemon_process(daemon_settings settings, std::string settingsPath)
         : m_settings(std::move(settings))
         , m_settingsPath(std::move(settingsPath))
-        , m_life(newLife())
+        , m_incarnation(drawIncarnation())
         , m_signals(m_runtime.io(), SIGTERM, SIGINT)
         , m_reloads(m_runtime.io(), SIGHUP)
     {
@@ -49,11 +49,12 @@
     int run()
     {
         if (auto composed = compose(); !composed)
-            return complain(composed.error());
+            return reportError(composed.error());
         if (auto started = m_kernel.start(); !started)
-            return complain(started.error());
+            return reportError(started.error());
         registerDrain();
-        logEvent(log_event::ProcessStarted, "vm=" + m_settings.vm.text() + " life=" + std::to_string(m_life.number()));
+        logEvent(log_event::ProcessStarted,
+            "vm=" + m_settings.vm.text() + " life=" + std::to_string(m_incarnation.number()));
         m_signals.async_wait([this](boost::system::error_code code, int) {
             if (!code)
                 leave();
@@ -74,7 +75,7 @@
         std::_Exit(0);
     }
 
-    static int complain(const error& error)
+    static int reportError(const error& error)
     {
         std::cerr << "coltsfootbend: " << toString(error) << "\n";
         return exitStart;
@@ -109,19 +110,19 @@
         if (!m_settings.entry && !m_settings.worker && !isOnDeployment)
             return {};
         m_kernel.add(std::make_unique<peer_service>(
-            m_runtime, peer_identity { .vm = m_settings.vm, .life = m_life }, std::move(peers)));
+            m_runtime, peer_identity { .vm = m_settings.vm, .life = m_incarnation }, std::move(peers)));
         if (isOnDeployment) {
             composeDeployment();
             return {};
         }
         m_kernel.add(std::make_unique<config_service>(m_runtime, m_settings));
         if (m_settings.worker)
-            m_kernel.add(std::make_unique<worker_service>(m_runtime, m_settings, m_life));
+            m_kernel.add(std::make_unique<worker_service>(m_runtime, m_settings, m_incarnation));
         if (!m_settings.entry)
             return {};
-        m_kernel.add(std::make_unique<entry_service>(m_runtime, m_settings, m_life, callerTls));
+        m_kernel.add(std::make_unique<entry_service>(m_runtime, m_settings, m_incarnation, callerTls));
         m_kernel.add(std::make_unique<operator_service>(
-            m_runtime, m_settings, m_life, std::move(callerTls), [this] { leave(); }));
+            m_runtime, m_settings, m_incarnation, std::move(callerTls), [this] { leave(); }));
         return {};
     }
 
@@ -207,7 +208,7 @@
 
     daemon_settings m_settings;
     const std::string m_settingsPath;
-    const incarnation m_life;
+    const incarnation m_incarnation;
     fiber_runtime m_runtime;
     kernel m_kernel;
     boost::asio::signal_set m_signals;
--- a/coltsfootbend/settings/settings.cpp
+++ b/coltsfootbend/settings/settings.cpp
@@ -24,12 +24,12 @@
 
     std::string text(const std::string& key, bool required = true, std::string fallback = {})
     {
-        const auto* node = look(key, required, "Set it to a text in double quotes");
+        const auto* node = findNode(key, required, "Set it to a text in double quotes");
         if (!node)
             return fallback;
         if (const auto value = node->value<std::string>(); value && !value->empty())
             return *value;
-        complain(key, node, "must be a text that is not empty", "Write it in double quotes");
+        addError(key, node, "must be a text that is not empty", "Write it in double quotes");
         return fallback;
     }
 
@@ -41,19 +41,19 @@
         auto parsed = parseEndpoint(value);
         if (parsed)
             return *parsed;
-        complain(key, m_table.get(key), parsed.error().message, parsed.error().remedy);
+        addError(key, m_table.get(key), parsed.error().message, parsed.error().remedy);
         return {};
     }
 
     double fraction(const std::string& key, double fallback, double least, double most)
     {
-        const auto* node = look(key, false, "");
+        const auto* node = findNode(key, false, "");
         if (!node)
             return fallback;
         const auto value = node->value<double>();
         if (value && *value >= least && *value <= most)
             return *value;
-        complain(key, node, "must be a number from " + std::to_string(least) + " to " + std::to_string(most),
+        addError(key, node, "must be a number from " + std::to_string(least) + " to " + std::to_string(most),
             "Change it, or leave it out for " + std::to_string(fallback));
         return fallback;
     }
@@ -61,29 +61,29 @@
     std::vector<endpoint> addresses(const std::string& key)
     {
         std::vector<endpoint> values;
-        const auto* node = look(key, false, "");
+        const auto* node = findNode(key, false, "");
         const auto* array = node ? node->as_array() : nullptr;
         if (node && !array)
-            complain(key, node, "must be a list of addresses", "Write it as [\"10.0.0.1:80\"]");
+            addError(key, node, "must be a list of addresses", "Write it as [\"10.0.0.1:80\"]");
         for (std::size_t i = 0; array && i < array->size(); ++i) {
             auto parsed = parseEndpoint(array->get(i)->value<std::string>().value_or(""));
             if (parsed)
                 values.push_back(*parsed);
             else
-                complain(key, node, parsed.error().message, parsed.error().remedy);
+                addError(key, node, parsed.error().message, parsed.error().remedy);
         }
         return values;
     }
 
     std::int64_t number(const std::string& key, std::int64_t fallback, std::int64_t least, std::int64_t most)
     {
-        const auto* node = look(key, false, "");
+        const auto* node = findNode(key, false, "");
         if (!node)
             return fallback;
         const auto value = node->value_exact<std::int64_t>();
         if (value && *value >= least && *value <= most)
             return *value;
-        complain(key, node, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most),
+        addError(key, node, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most),
             "Change it, or leave it out for " + std::to_string(fallback));
         return fallback;
     }
@@ -91,7 +91,7 @@
     std::vector<std::string> texts(const std::string& key, bool required = true)
     {
         std::vector<std::string> values;
-        const auto* node = look(key, required, "Set it to a list of texts");
+        const auto* node = findNode(key, required, "Set it to a list of texts");
         if (!node)
             return values;
         const auto* array = node->as_array();
@@ -100,36 +100,36 @@
                 values.push_back(*value);
         }
         if (!array || values.size() != array->size() || values.empty())
-            complain(key, node, "must be a list of texts that is not empty", "Write it as [\"a\", \"b\"]");
+            addError(key, node, "must be a list of texts that is not empty", "Write it as [\"a\", \"b\"]");
         return values;
     }
 
     std::optional<table_reader> table(const std::string& key)
     {
-        const auto* node = look(key, false, "");
+        const auto* node = findNode(key, false, "");
         if (!node)
             return std::nullopt;
         if (const auto* found = node->as_table())
             return table_reader(*found, m_path + key + ".", m_errors);
-        complain(key, node, "must be a table", "Write it as [" + m_path + key + "]");
+        addError(key, node, "must be a table", "Write it as [" + m_path + key + "]");
         return std::nullopt;
     }
 
     std::vector<table_reader> tables(const std::string& key)
     {
         std::vector<table_reader> readers;
-        const auto* node = look(key, false, "");
+        const auto* node = findNode(key, false, "");
         const auto* array = node ? node->as_array() : nullptr;
         for (std::size_t i = 0; array && i < array->size(); ++i) {
             if (const auto* found = array->get(i)->as_table())
                 readers.emplace_back(*found, m_path + key + ".", m_errors);
         }
         if (node && (!array || readers.size() != array->size()))
-            complain(key, node, "must be a list of tables", "Write each as [[" + m_path + key + "]]");
+            addError(key, node, "must be a list of tables", "Write each as [[" + m_path + key + "]]");
         return readers;
     }
 
-    void complain(const std::string& key, const toml::node* node, const std::string& what, std::string remedy)
+    void addError(const std::string& key, const toml::node* node, const std::string& what, std::string remedy)
     {
         const auto line = node ? node->source().begin.line : m_table.source().begin.line;
         m_errors.push_back({ error_kind::BadInput, "line " + std::to_string(line) + ": '" + m_path + key + "' " + what,
@@ -137,22 +137,22 @@
     }
 
     // Reports the keys that were not read, which are most likely misspelt. Call last.
-    void rejectOthers()
+    void rejectUnknownKeys()
     {
         for (const auto& [key, node] : m_table) {
             const std::string name(key.str());
             if (!m_known.contains(name))
-                complain(name, &node, "is not a setting", "Remove it, or correct its spelling");
+                addError(name, &node, "is not a setting", "Remove it, or correct its spelling");
         }
     }
 
 private:
-    const toml::node* look(const std::string& key, bool required, std::string remedy)
+    const toml::node* findNode(const std::string& key, bool required, std::string remedy)
     {
         m_known.insert(key);
         const auto* node = m_table.get(key);
         if (!node && required)
-            complain(key, nullptr, "is missing", std::move(remedy));
+            addError(key, nullptr, "is missing", std::move(remedy));
         return node;
     }
 
@@ -168,7 +168,7 @@
     if (!reader)
         return std::nullopt;
     tls_settings tls { reader->text("certificate"), reader->text("key"), reader->text("authority", false) };
-    reader->rejectOthers();
+    reader->rejectUnknownKeys();
     return tls;
 }
 
@@ -183,7 +183,7 @@
     entry.maxRequests = static_cast<std::size_t>(reader.number("max_requests", 4096, 1, 65'536));
     entry.maxBodyBytes = static_cast<std::size_t>(reader.number("max_body_bytes", 4 * mebibyte, 1024, 64 * mebibyte));
     entry.defaultTimeout = std::chrono::milliseconds(reader.number("default_timeout_ms", 60'000, 100, 600'000));
-    reader.rejectOthers();
+    reader.rejectUnknownKeys();
     return entry;
 }
 
@@ -194,7 +194,7 @@
     worker.backend = reader.address("backend");
     const auto kind = reader.text("kind", false, "engine");
     if (kind != "engine" && kind != "plain")
-        reader.complain("kind", nullptr, "must be \"engine\" or \"plain\"", "Choose one of the two");
+        reader.addError("kind", nullptr, "must be \"engine\" or \"plain\"", "Choose one of the two");
     worker.kind = kind == "plain" ? backend_kind::Plain : backend_kind::Engine;
     for (auto& id : reader.texts("deployments"))
         worker.deployments.emplace_back(std::move(id));
@@ -202,7 +202,7 @@
     worker.maxWaiting = static_cast<std::size_t>(reader.number("max_waiting", 256, 0, 65'536));
     worker.maxAnswerBytes
         = static_cast<std::size_t>(reader.number("max_answer_bytes", 48 * mebibyte, mebibyte, 1024 * mebibyte));
-    reader.rejectOthers();
+    reader.rejectUnknownKeys();
     return worker;
 }
 
@@ -215,7 +215,7 @@
     gateway.retries.ratio = reader.fraction("retry_ratio", 0.1, 0, 1);
     gateway.retries.window = fromMilliseconds(1000 * reader.fraction("retry_window_s", 10, 0.1, 3600));
     gateway.retries.extra = reader.fraction("retry_extra", 10, 0, 1e6);
-    reader.rejectOthers();
+    reader.rejectUnknownKeys();
     return gateway;
 }
 
@@ -224,7 +224,7 @@
     rank_agent_settings agent;
     agent.engine = reader.address("engine");
     agent.gainPerGigabyte = reader.fraction("gain_per_gigabyte", 0.012, 0, 1000);
-    reader.rejectOthers();
+    reader.rejectUnknownKeys();
     return agent;
 }
 
@@ -232,7 +232,7 @@
 {
     peer_settings peer { vm_id(reader.text("id")), data_centre_id(reader.text("data_centre")),
         reader.address("address") };
-    reader.rejectOthers();
+    reader.rejectUnknownKeys();
     return peer;
 }
 
@@ -247,24 +247,24 @@
         settings.engineStandin = engine_standin_settings { engine->address("address"),
             std::chrono::milliseconds(engine->number("step_ms", 6, 1, 1000)),
             static_cast<std::size_t>(engine->number("slots", 16, 1, 4096)) };
-        engine->rejectOthers();
+        engine->rejectUnknownKeys();
     }
-    reader->rejectOthers();
+    reader->rejectUnknownKeys();
 }
 
 void checkWhole(const daemon_settings& settings, table_reader& root)
 {
     const bool isOnDeployment = settings.gateway || settings.rankAgent;
     if (!settings.entry && !settings.worker && !settings.platformStandin && !settings.engineStandin && !isOnDeployment)
-        root.complain("entry", nullptr, "and 'worker' are both missing", "Add a table [entry] or [worker]");
+        root.addError("entry", nullptr, "and 'worker' are both missing", "Add a table [entry] or [worker]");
     if (isOnDeployment && !settings.deploymentStore)
-        root.complain("deployment_store", nullptr, "is missing", "Give the address of the platform's store");
+        root.addError("deployment_store", nullptr, "is missing", "Give the address of the platform's store");
     if (isOnDeployment && settings.peers.port == 0)
-        root.complain("peers", nullptr, "is missing", "Give the address at which other processes reach this one");
+        root.addError("peers", nullptr, "is missing", "Give the address at which other processes reach this one");
     if ((settings.entry || settings.worker) && settings.entries.empty())
-        root.complain("entries", nullptr, "is missing", "Name every entry VM in a table [[entries]]");
+        root.addError("entries", nullptr, "is missing", "Name every entry VM in a table [[entries]]");
     if (settings.entry && !settings.platform)
-        root.complain("platform", nullptr, "is missing", "Give the address of the platform's service");
+        root.addError("platform", nullptr, "is missing", "Give the address of the platform's service");
 }
 
 } // namespace
@@ -311,7 +311,7 @@
         settings.drainLimit = std::chrono::milliseconds(std::lround(seconds * 1000));
     settings.keyLifetime = std::chrono::milliseconds(root.number("key_lifetime_ms", 600'000, 1000, 86'400'000));
     checkWhole(settings, root);
-    root.rejectOthers();
+    root.rejectUnknownKeys();
     if (!errors.empty())
         return tl::unexpected(std::move(errors));
     return settings;
