--- a/coltsfootbend/config/config_service.cpp
+++ b/coltsfootbend/config/config_service.cpp
@@ -36,7 +36,7 @@
     if (!peers)
         return tl::unexpected(peers.error());
     m_peers = *peers;
-    m_platformHeardAt = clock_type::now();
+    m_platformLastAnsweredAt = clock_type::now();
     m_peers->identity().version = [this] { return m_state.version(); };
     m_peers->identity().onMessage = [this](const wire::message& message) { noteVersion(message); };
     m_peers->on<wire::config_request>(
@@ -101,7 +101,7 @@
         const auto deadline = clock_type::now() + platformLimit;
         const auto refreshed = m_store->refresh(m_state, deadline);
         if (refreshed) {
-            m_platformHeardAt = clock_type::now();
+            m_platformLastAnsweredAt = clock_type::now();
             changed(before);
             if (isFirst)
                 adoptFirstConfiguration(deadline);
--- a/coltsfootbend/config/config_service.h
+++ b/coltsfootbend/config/config_service.h
@@ -39,7 +39,7 @@
 
     http_platform* platform() { return m_platform.get(); }
     // Returns when the platform's table last answered, or the start of the process before its first answer.
-    time_point platformHeardAt() const { return m_platformHeardAt; }
+    time_point platformLastAnsweredAt() const { return m_platformLastAnsweredAt; }
 
 private:
     void noteVersion(const wire::message&);
@@ -58,7 +58,7 @@
     std::vector<std::function<void()>> m_listeners;
     bool m_pulling = false;
     bool m_stopped = false;
-    time_point m_platformHeardAt {};
+    time_point m_platformLastAnsweredAt {};
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/operators/operator_service.cpp
+++ b/coltsfootbend/operators/operator_service.cpp
@@ -136,7 +136,8 @@
         { "data_centre", m_settings.dataCentre.text() }, { "state", m_entry->isLeaving() ? "leaving" : "serving" },
         { "configuration_version", m_configuration->version().number() }, { "in_flight", m_entry->inFlight() },
         { "oldest_request_ms", toMilliseconds(m_entry->oldestRequestAge()) },
-        { "platform_silent_ms", toMilliseconds(now - m_configuration->platformHeardAt()) }, { "workers", workers } });
+        { "platform_silent_ms", toMilliseconds(now - m_configuration->platformLastAnsweredAt()) },
+        { "workers", workers } });
 }
 
 http_response operator_service::showConfiguration() const
