--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -220,7 +220,7 @@
         decoder.feed(datagram->bytes);
         const auto message = decoder.next();
         const auto* content = message && *message ? &(*message)->content : nullptr;
-        if (const auto* load = content ? std::get_if<wire::load_news>(content) : nullptr)
+        if (const auto* load = content ? std::get_if<wire::load_update>(content) : nullptr)
             receiveLoad(datagram->sender, *load);
         else if (const auto* crashes = content ? std::get_if<wire::crash_report>(content) : nullptr)
             m_quarantine->hear(datagram->sender, *crashes);
@@ -231,7 +231,7 @@
     }
 }
 
-void gateway_service::receiveLoad(const endpoint& sender, const wire::load_news& update)
+void gateway_service::receiveLoad(const endpoint& sender, const wire::load_update& update)
 {
     const auto now = clock_type::now();
     m_watch->meetPeer(sender);
@@ -263,7 +263,7 @@
     }
 }
 
-void gateway_service::receiveStoreStatus(const wire::load_news& update)
+void gateway_service::receiveStoreStatus(const wire::load_update& update)
 {
     const auto now = clock_type::now();
     auto current = wire::store_duty::Unknown;
--- a/coltsfootbend/gateway/gateway_service.h
+++ b/coltsfootbend/gateway/gateway_service.h
@@ -45,9 +45,9 @@
     void subscribeLoop();
     // Receives the agents' datagrams.
     void receiveLoop();
-    void receiveLoad(const endpoint& sender, const wire::load_news&);
+    void receiveLoad(const endpoint& sender, const wire::load_update&);
     // Records when other gateways last confirmed their tables, and which part this gateway has in following the store.
-    void receiveStoreStatus(const wire::load_news&);
+    void receiveStoreStatus(const wire::load_update&);
     void maintenanceLoop();
     // Checks conditions that change with time alone: stalled groups and unresponsive servers.
     void groupLoop();
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -195,7 +195,7 @@
 
 void rank_service::sendLoadUpdate(const rank_report& report)
 {
-    wire::load_news update;
+    wire::load_update update;
     update.engine = toString(m_settings.rankAgent->engine);
     update.running = report.running;
     update.waiting = report.waiting;
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -117,7 +117,7 @@
 {
     return std::tie(value.limit, value.serial, value.isGranted, value.expectedInMs, value.askers);
 }
-static auto fieldsOf(load_news& value)
+static auto fieldsOf(load_update& value)
 {
     return std::tie(value.engine, value.running, value.waiting, value.usedTokens, value.totalTokens, value.pace,
         value.group, value.epoch, value.step, value.isOpen, value.subscribers, value.ranks, value.newsAt, value.life,
--- a/coltsfootbend/wire/messages.h
+++ b/coltsfootbend/wire/messages.h
@@ -324,7 +324,7 @@
 };
 
 // Rank agent to the subscribed gateways, as a datagram: the load of its engine and the state of its group.
-struct load_news {
+struct load_update {
     std::string engine; // Address at which the engine accepts requests.
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -379,7 +379,7 @@
 
 using body = std::variant<dispatch, head, bytes, end, refused, failed, other_life, revoke, revoke_reply, join, cancel,
     claim, claim_reply, close, load, announce, acknowledge, config_request, config_reply, config_notice, problem, drain,
-    deployment_request, deployment_reply, rank_query, rank_state, rank_prepare, rank_arm, load_subscribe, load_news,
+    deployment_request, deployment_reply, rank_query, rank_state, rank_prepare, rank_arm, load_subscribe, load_update,
     rank_release, rank_disarm, relayed_order, relayed_answers, crash_report, port_inquiry, port_finding,
     deployment_inquiry, deployment_knowledge, permit_request, permit_reply>;
 
