--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -239,7 +239,7 @@
     m_quarantine->hearDigest(sender, update.crashes);
     m_agents->heard(sender, now);
     m_permits->hear(update.limits);
-    if (const auto informedGateway = parseEndpoint(update.newsAt))
+    if (const auto informedGateway = parseEndpoint(update.newerDeploymentAt))
         m_watch->hearOfNews(*informedGateway);
     const auto engine = parseEndpoint(update.engine);
     if (!engine)
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -222,7 +222,7 @@
     for (const auto& [address, duty] : m_subscribers.duties()) {
         update.duty = static_cast<std::uint32_t>(duty);
         const auto* newerSource = m_subscribers.findNewerSource(m_subscribers.all().at(address));
-        update.newsAt = newerSource ? toString(*newerSource) : "";
+        update.newerDeploymentAt = newerSource ? toString(*newerSource) : "";
         if (newerSource) {
             m_datagrams->send(address, encoded());
             continue;
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -120,8 +120,8 @@
 static auto fieldsOf(load_update& value)
 {
     return std::tie(value.engine, value.running, value.waiting, value.usedTokens, value.totalTokens, value.pace,
-        value.group, value.epoch, value.step, value.isOpen, value.subscribers, value.ranks, value.newsAt, value.life,
-        value.configuration, value.servers, value.duty, value.crashes, value.limits);
+        value.group, value.epoch, value.step, value.isOpen, value.subscribers, value.ranks, value.newerDeploymentAt,
+        value.life, value.configuration, value.servers, value.duty, value.crashes, value.limits);
 }
 static auto fieldsOf(crash_entry& value) { return std::tie(value.request, value.server, value.ageMs, value.isCleared); }
 static auto fieldsOf(port_inquiry& value) { return std::tie(value.address); }
--- a/coltsfootbend/wire/messages.h
+++ b/coltsfootbend/wire/messages.h
@@ -337,7 +337,7 @@
     bool isOpen = true;
     std::uint32_t ranks = 0; // Number of ranks of the group.
     std::uint32_t subscribers = 0; // Number of gateways subscribed to this agent.
-    std::string newsAt; // Address of a gateway with a newer deployment than the receiver's; empty if none.
+    std::string newerDeploymentAt; // Address of a gateway with a newer deployment than the receiver's; empty if none.
     std::uint64_t life = 0; // Incarnation of the engine: its start in Unix milliseconds; 0 if not reported.
     // The newest confirmations that any gateway has reported to this agent.
     store_confirmation configuration;
