--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -269,7 +269,7 @@
     auto current = wire::store_duty::Unknown;
     // Of the duties that are still valid the last one in this list applies. An agent that has just started knows few
     // gateways and assigns each of them more than it needs to do.
-    for (const auto duty : { wire::store_duty::Follow, wire::store_duty::Check, wire::store_duty::Rest }) {
+    for (const auto duty : { wire::store_duty::Follow, wire::store_duty::Check, wire::store_duty::Standby }) {
         if (update.duty == static_cast<std::uint32_t>(duty))
             m_dutyValidUntil[duty] = now + dutyValidity;
         if (now < m_dutyValidUntil[duty])
--- a/coltsfootbend/gateway/table_follower.cpp
+++ b/coltsfootbend/gateway/table_follower.cpp
@@ -189,7 +189,7 @@
 
 bool table_follower::isResting() const
 {
-    return m_duty == wire::store_duty::Rest && m_isWhole && clock_type::now() < m_checkAt;
+    return m_duty == wire::store_duty::Standby && m_isWhole && clock_type::now() < m_checkAt;
 }
 
 void table_follower::hearConfirmation(store_revision revision, time_point asOf)
@@ -210,7 +210,7 @@
     case wire::store_duty::Follow:
         m_checkAt = asOf + m_options.checkAfter + m_options.dutyDelay + spread(m_options.dutySpread / 2);
         break;
-    case wire::store_duty::Rest: // After those who follow, whose news may spare it the call.
+    case wire::store_duty::Standby: // After those who follow, whose news may spare it the call.
         m_checkAt = asOf + m_options.checkAfter + m_options.dutyDelay + m_options.dutySpread
             - spread(m_options.dutySpread / 2);
         break;
--- a/coltsfootbend/group/load_subscribers.cpp
+++ b/coltsfootbend/group/load_subscribers.cpp
@@ -95,11 +95,11 @@
         const auto& dataCentre = gateway.knowledge.dataCentre;
         auto& duty = duties[address];
         if (!gateway.knowledge.isServed) {
-            duty = served[dataCentre] > 0 ? wire::store_duty::Rest : wire::store_duty::Follow;
+            duty = served[dataCentre] > 0 ? wire::store_duty::Standby : wire::store_duty::Follow;
             continue;
         }
         if (followers[dataCentre] == maxFollowersPerDataCentre) {
-            duty = wire::store_duty::Rest;
+            duty = wire::store_duty::Standby;
             continue;
         }
         ++followers[dataCentre];
--- a/coltsfootbend/group/load_subscribers_test.cpp
+++ b/coltsfootbend/group/load_subscribers_test.cpp
@@ -54,7 +54,7 @@
     inOtherDataCentre.dataCentre = "b";
     subscribers.subscribe(remote, inOtherDataCentre, start + 9s, start);
     EXPECT_EQ(subscribers.duties().at(second), wire::store_duty::Follow);
-    EXPECT_EQ(subscribers.duties().at(third), wire::store_duty::Rest);
+    EXPECT_EQ(subscribers.duties().at(third), wire::store_duty::Standby);
     EXPECT_EQ(subscribers.duties().at(remote), wire::store_duty::Follow);
 }
 
@@ -64,7 +64,7 @@
     load_subscribers subscribers(1);
     subscribers.subscribe(first, knowing(5, 0, false), start + 9s, start);
     subscribers.subscribe(second, knowing(5, 0), start + 9s, start);
-    EXPECT_EQ(subscribers.duties().at(first), wire::store_duty::Rest);
+    EXPECT_EQ(subscribers.duties().at(first), wire::store_duty::Standby);
     subscribers.subscribe(second, knowing(5, 0, false), start + 9s, start);
     EXPECT_EQ(subscribers.duties().at(first), wire::store_duty::Follow);
 }
--- a/coltsfootbend/wire/messages.h
+++ b/coltsfootbend/wire/messages.h
@@ -285,7 +285,7 @@
     Unknown, // No other process is known to follow the store.
     Check, // Follows the store and verifies between polls, for all, that their results are reliable.
     Follow, // Follows the store; another gateway verifies the results.
-    Rest, // Other gateways follow and verify; this one does so only if no updates arrive from them.
+    Standby, // Other gateways follow and verify; this one does so only if no updates arrive from them.
 };
 
 // Revisions of the deployment that a process knows, from which others learn that it has newer ones.
