--- a/coltsfootbend/group/relayed_states.cpp
+++ b/coltsfootbend/group/relayed_states.cpp
@@ -10,7 +10,7 @@
 
 constexpr double percent = 100;
 
-// Returns whether the two states differ only in values that `rank_difference` holds. A state with a map never
+// Returns whether the two states differ only in values that `rank_state_difference` holds. A state with a map never
 // qualifies.
 bool sharesCommonValues(const wire::rank_state& a, const wire::rank_state& b)
 {
@@ -21,7 +21,7 @@
         && b.map.empty();
 }
 
-wire::rank_difference differenceOf(const wire::rank_state& state, const wire::rank_state& common)
+wire::rank_state_difference differenceOf(const wire::rank_state& state, const wire::rank_state& common)
 {
     return { .target = state.target,
         .rank = state.rank,
@@ -45,7 +45,7 @@
             hasCommon = true;
         }
         if (hasCommon && sharesCommonValues(answers.common, state)) {
-            answers.alike.push_back(differenceOf(state, answers.common));
+            answers.differences.push_back(differenceOf(state, answers.common));
         } else {
             answers.others.push_back(state);
             answers.others.back().demand.clear();
@@ -57,7 +57,7 @@
 std::vector<wire::rank_state> unpackStates(const wire::relayed_answers& answers)
 {
     std::vector<wire::rank_state> states = answers.others;
-    for (const auto& difference : answers.alike) {
+    for (const auto& difference : answers.differences) {
         auto state = answers.common;
         state.target = difference.target;
         state.rank = difference.rank;
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -97,11 +97,14 @@
     return std::tie(value.number, value.host, value.life, value.dataCentre, value.tellsDemand);
 }
 static auto fieldsOf(relayed_order& value) { return std::tie(value.order, value.own, value.others, value.timeLeftMs); }
-static auto fieldsOf(rank_difference& value)
+static auto fieldsOf(rank_state_difference& value)
 {
     return std::tie(value.target, value.rank, value.life, value.steps, value.requests, value.pacePercent);
 }
-static auto fieldsOf(relayed_answers& value) { return std::tie(value.common, value.alike, value.others, value.demand); }
+static auto fieldsOf(relayed_answers& value)
+{
+    return std::tie(value.common, value.differences, value.others, value.demand);
+}
 static auto fieldsOf(store_confirmation& value) { return std::tie(value.revision, value.ageMs); }
 static auto fieldsOf(deployment_knowledge& value)
 {
--- a/coltsfootbend/wire/messages.h
+++ b/coltsfootbend/wire/messages.h
@@ -256,7 +256,7 @@
     std::uint64_t timeLeftMs = 0;
 };
 // Differences between one rank's state and the state common to most ranks of a group.
-struct rank_difference {
+struct rank_state_difference {
     std::uint32_t target = 0;
     std::uint32_t rank = 0;
     std::uint64_t life = 0;
@@ -267,7 +267,7 @@
 // States of many ranks. The fields on which most of them agree are sent once: see `group/relayed_states.h`.
 struct relayed_answers {
     rank_state common;
-    std::vector<rank_difference> alike;
+    std::vector<rank_state_difference> differences;
     std::vector<rank_state> others;
     std::vector<std::uint32_t> demand; // Sum over the ranks that were asked for their counts.
 };
