--- a/coltsfootbend/group/rank_channel.cpp
+++ b/coltsfootbend/group/rank_channel.cpp
@@ -58,7 +58,7 @@
         auto target = to[i].channel->relayTarget();
         target.number = static_cast<std::uint32_t>(i);
         target.life = to[i].incarnation;
-        target.tellsDemand = to[i].reportsDemand;
+        target.reportsDemand = to[i].reportsDemand;
         partition.targets.push_back(std::move(target));
     }
     return partition;
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -94,7 +94,7 @@
 static auto fieldsOf(rank_disarm& value) { return std::tie(value.scope, value.version); }
 static auto fieldsOf(relay_target& value)
 {
-    return std::tie(value.number, value.host, value.life, value.dataCentre, value.tellsDemand);
+    return std::tie(value.number, value.host, value.life, value.dataCentre, value.reportsDemand);
 }
 static auto fieldsOf(relayed_order& value) { return std::tie(value.order, value.own, value.others, value.timeLeftMs); }
 static auto fieldsOf(rank_state_difference& value)
--- a/coltsfootbend/wire/messages.h
+++ b/coltsfootbend/wire/messages.h
@@ -245,7 +245,7 @@
     std::string host; // Host of the rank's agent, which listens on the port common to all agents.
     std::uint64_t life = 0; // Incarnation for the scope of the order to this rank.
     std::uint32_t dataCentre = 0; // Number assigned by the leader.
-    bool tellsDemand = false; // Whether this rank reports its counts if the order asks for them.
+    bool reportsDemand = false; // Whether this rank reports its counts if the order asks for them.
 };
 // A leader's order to many ranks, relayed from agent to agent: `own` is the target at the receiver, which relays the
 // order to `others`. It sends `acknowledge` repeatedly as a keep-alive while they work, and finally `relayed_answers`.
