--- a/coltsfootbend/gateway/permit_network.cpp
+++ b/coltsfootbend/gateway/permit_network.cpp
@@ -54,7 +54,8 @@
     const backend_id server(reply.limit.server);
     if (m_agents.hasAny()) // What it told itself is no news.
         hearLimit(reply.limit, now);
-    m_notices.expectPermit(server, reply.serial, now + std::chrono::milliseconds(reply.expectedInMs), reply.askers);
+    m_notices.expectPermit(
+        server, reply.serial, now + std::chrono::milliseconds(reply.expectedInMs), reply.waitingGateways);
     if (reply.isGranted)
         m_notices.grant(server, reply.serial, now);
 }
--- a/coltsfootbend/permits/permit_service.cpp
+++ b/coltsfootbend/permits/permit_service.cpp
@@ -62,7 +62,7 @@
         .serial = serial,
         .isGranted = false,
         .expectedInMs = static_cast<std::uint64_t>(remaining(now, estimate.expectedAt).count()),
-        .askers = estimate.waitingGateways };
+        .waitingGateways = estimate.waitingGateways };
 }
 
 std::vector<wire::server_limit> permit_service::limits(time_point now) const
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -118,7 +118,7 @@
 static auto fieldsOf(permit_request& value) { return std::tie(value.limit, value.wantsPermit, value.serial); }
 static auto fieldsOf(permit_reply& value)
 {
-    return std::tie(value.limit, value.serial, value.isGranted, value.expectedInMs, value.askers);
+    return std::tie(value.limit, value.serial, value.isGranted, value.expectedInMs, value.waitingGateways);
 }
 static auto fieldsOf(load_update& value)
 {
--- a/coltsfootbend/wire/messages.h
+++ b/coltsfootbend/wire/messages.h
@@ -320,7 +320,7 @@
     std::uint64_t serial = 0;
     bool isGranted = false;
     std::uint64_t expectedInMs = 0; // If not granted: expected time until it is.
-    std::uint32_t askers = 0; // Number of gateways waiting for permits of the server.
+    std::uint32_t waitingGateways = 0; // Number of gateways waiting for permits of the server.
 };
 
 // Rank agent to the subscribed gateways, as a datagram: the load of its engine and the state of its group.
