--- a/coltsfootbend/gateway/permit_network.cpp
+++ b/coltsfootbend/gateway/permit_network.cpp
@@ -22,12 +22,12 @@
 
 void permit_network::ask(const backend_server& server, std::uint64_t serial)
 {
-    send(server, { .limit = {}, .wantsPermit = true, .serial = serial });
+    send(server, { .limit = {}, .requestsPermit = true, .serial = serial });
 }
 
 void permit_network::tell(const backend_server& server)
 {
-    send(server, { .limit = {}, .wantsPermit = false, .serial = 0 });
+    send(server, { .limit = {}, .requestsPermit = false, .serial = 0 });
 }
 
 void permit_network::send(const backend_server& server, wire::permit_request request)
--- a/coltsfootbend/permits/permit_service.cpp
+++ b/coltsfootbend/permits/permit_service.cpp
@@ -47,7 +47,7 @@
     const permit_subject subject(request.limit.server);
     const permit_requester requester(toString(gateway));
     m_issuer.receiveStatement(subject, fromWire(request.limit, now), now);
-    if (!request.wantsPermit)
+    if (!request.requestsPermit)
         return;
     m_issuer.requestPermit(subject, requester, request.serial, now);
     m_send(gateway, replyTo(subject, requester, request.serial, now));
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -115,7 +115,7 @@
 {
     return std::tie(value.server, value.life, value.perSecond, value.isNamed, value.ageMs);
 }
-static auto fieldsOf(permit_request& value) { return std::tie(value.limit, value.wantsPermit, value.serial); }
+static auto fieldsOf(permit_request& value) { return std::tie(value.limit, value.requestsPermit, value.serial); }
 static auto fieldsOf(permit_reply& value)
 {
     return std::tie(value.limit, value.serial, value.isGranted, value.expectedInMs, value.waitingGateways);
--- a/coltsfootbend/wire/messages.h
+++ b/coltsfootbend/wire/messages.h
@@ -311,7 +311,7 @@
 // Gateway to rank agent, as a datagram: reports a server's limit and may ask for a permit to send it a request.
 struct permit_request {
     server_limit limit;
-    bool wantsPermit = false;
+    bool requestsPermit = false;
     std::uint64_t serial = 0; // The reply repeats it.
 };
 // Rank agent to gateway, as a datagram: sent immediately, and again when the permit is due.
