--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -201,7 +201,7 @@
 {
     while (!m_stopped) {
         const auto bytes = wire::encode({ .sender = m_settings.vm,
-            .senderLife = {},
+            .senderIncarnation = {},
             .version = {},
             .content = wire::load_subscribe { m_watch->knowledge() } });
         for (const auto& agent : m_agents->all())
--- a/coltsfootbend/gateway/permit_network.cpp
+++ b/coltsfootbend/gateway/permit_network.cpp
@@ -45,7 +45,8 @@
     }
     // Without one that is heard nobody knows what others send: the server is left alone.
     if (const auto issuer = m_agents.issuerFor(server, now))
-        m_socket.send(*issuer, wire::encode({ .sender = m_self, .senderLife = {}, .version = {}, .content = request }));
+        m_socket.send(
+            *issuer, wire::encode({ .sender = m_self, .senderIncarnation = {}, .version = {}, .content = request }));
 }
 
 void permit_network::hear(const wire::permit_reply& reply)
--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -72,7 +72,9 @@
 
     void transfer(std::size_t from, std::size_t to, const wire::body& content)
     {
-        const wire::message message { .sender = vm_id("side-10"), .senderLife = {}, .version = {}, .content = content };
+        const wire::message message {
+            .sender = vm_id("side-10"), .senderIncarnation = {}, .version = {}, .content = content
+        };
         transfer(from, to, wire::encode(message).size() + messageOverhead);
     }
 
--- a/coltsfootbend/group/order_relay_test.cpp
+++ b/coltsfootbend/group/order_relay_test.cpp
@@ -39,7 +39,7 @@
     result<wire::relayed_answers> send(const wire::relayed_order& order, time_point deadline) override
     {
         ++messages;
-        bytes += wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = order }).size();
+        bytes += wire::encode({ .sender = {}, .senderIncarnation = {}, .version = {}, .content = order }).size();
         m_runtime.sleepFor(1ms);
         if (unreachable.contains(order.own.number)) {
             m_runtime.sleepFor(20ms);
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -94,7 +94,7 @@
     m_permits
         = std::make_unique<permit_service>(m_runtime, [this](const endpoint& gateway, const wire::permit_reply& reply) {
               m_datagrams->send(gateway,
-                  wire::encode({ .sender = m_settings.vm, .senderLife = {}, .version = {}, .content = reply }));
+                  wire::encode({ .sender = m_settings.vm, .senderIncarnation = {}, .version = {}, .content = reply }));
           });
     m_runtime.spawn([this] { loadUpdateLoop(); });
     m_runtime.spawn([this] { receiveLoop(); });
@@ -216,8 +216,9 @@
         update.isOpen = report.group->isOpen;
         update.ranks = report.group->ranks;
     }
-    const auto encoded
-        = [&] { return wire::encode({ .sender = m_settings.vm, .senderLife = {}, .version = {}, .content = update }); };
+    const auto encoded = [&] {
+        return wire::encode({ .sender = m_settings.vm, .senderIncarnation = {}, .version = {}, .content = update });
+    };
     std::map<wire::store_duty, std::string> encodedByDuty;
     for (const auto& [address, duty] : m_subscribers.duties()) {
         update.duty = static_cast<std::uint32_t>(duty);
--- a/coltsfootbend/group/relayed_states_test.cpp
+++ b/coltsfootbend/group/relayed_states_test.cpp
@@ -38,7 +38,8 @@
 std::vector<wire::rank_state> encodedAndDecoded(const std::vector<wire::rank_state>& all)
 {
     wire::message_decoder decoder(1'000'000);
-    decoder.feed(wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = packStates(all, {}) }));
+    decoder.feed(
+        wire::encode({ .sender = {}, .senderIncarnation = {}, .version = {}, .content = packStates(all, {}) }));
     const auto message = decoder.next();
     auto back = unpackStates(std::get<wire::relayed_answers>((*message)->content));
     std::sort(back.begin(), back.end(), [](const auto& a, const auto& b) { return a.target < b.target; });
@@ -48,8 +49,8 @@
 TEST(RelayedStates, EachRankOfAGroupAddsFewBytesToAMessage)
 {
     constexpr std::size_t bytesPerRank = 24;
-    const auto bytes
-        = wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = packStates(states(129), {}) });
+    const auto bytes = wire::encode(
+        { .sender = {}, .senderIncarnation = {}, .version = {}, .content = packStates(states(129), {}) });
     EXPECT_LT(bytes.size(), 129 * bytesPerRank);
 }
 
--- a/coltsfootbend/quarantine/datagram_crash_channel.h
+++ b/coltsfootbend/quarantine/datagram_crash_channel.h
@@ -25,7 +25,7 @@
     void send(const endpoint& receiver, const wire::crash_report& report) override
     {
         m_socket.send(
-            receiver, wire::encode({ .sender = m_sender, .senderLife = {}, .version = {}, .content = report }));
+            receiver, wire::encode({ .sender = m_sender, .senderIncarnation = {}, .version = {}, .content = report }));
     }
 
 private:
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -307,7 +307,7 @@
     msgpack::packer<msgpack::sbuffer> out(buffer);
     out.pack_array(envelopeFields);
     out.pack(message.sender);
-    out.pack(message.senderLife);
+    out.pack(message.senderIncarnation);
     out.pack(message.version);
     out.pack(static_cast<std::uint32_t>(message.content.index()));
     std::visit([&](const auto& content) { out.pack(content); }, message.content);
@@ -352,7 +352,7 @@
         const auto* fields = in.via.array.ptr;
         message decoded;
         fields[0].convert(decoded.sender);
-        fields[1].convert(decoded.senderLife);
+        fields[1].convert(decoded.senderIncarnation);
         fields[2].convert(decoded.version);
         if (!convertAlternative(fields[3].as<std::uint32_t>(), fields[4], decoded.content))
             return badMessage("its kind is unknown");
--- a/coltsfootbend/wire/codec_test.cpp
+++ b/coltsfootbend/wire/codec_test.cpp
@@ -14,7 +14,9 @@
     dispatch.customer = customer_id("c");
     dispatch.weight = 1.5;
     dispatch.body = std::string("\0binary", 7);
-    return { .sender = vm_id("e"), .senderLife = incarnation(3), .version = config_version(12), .content = dispatch };
+    return {
+        .sender = vm_id("e"), .senderIncarnation = incarnation(3), .version = config_version(12), .content = dispatch
+    };
 }
 
 result<std::optional<wire::message>> decode(const std::string& bytes)
@@ -40,8 +42,8 @@
     claim_request request;
     request.replaces = attempt_id { vm_id("x"), incarnation(1), 2 };
     request.ticketIncarnation = incarnation(8);
-    const auto back
-        = decode(wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = wire::claim { request } }));
+    const auto back = decode(
+        wire::encode({ .sender = {}, .senderIncarnation = {}, .version = {}, .content = wire::claim { request } }));
     ASSERT_TRUE(back && *back);
     const auto& claim = std::get<wire::claim>((*back)->content).request;
     EXPECT_EQ(claim.replaces, request.replaces);
@@ -82,8 +84,10 @@
 
 TEST(Codec, AnEnumerationBeyondItsLastMemberIsRefused)
 {
-    auto bytes = wire::encode(
-        { .sender = {}, .senderLife = {}, .version = {}, .content = wire::revoke_reply { revoke_verdict::Forgotten } });
+    auto bytes = wire::encode({ .sender = {},
+        .senderIncarnation = {},
+        .version = {},
+        .content = wire::revoke_reply { revoke_verdict::Forgotten } });
     ASSERT_TRUE(decode(bytes));
     bytes.back() = 99;
     EXPECT_FALSE(decode(bytes));
@@ -117,7 +121,8 @@
 
 TEST(Codec, ARelayedOrderComesBackAsItWas)
 {
-    const auto back = decode(wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = relayedArm() }));
+    const auto back
+        = decode(wire::encode({ .sender = {}, .senderIncarnation = {}, .version = {}, .content = relayedArm() }));
     ASSERT_TRUE(back && *back);
     const auto& relayed = std::get<wire::relayed_order>((*back)->content);
     const auto& arm = std::get<wire::rank_arm>(relayed.order);
@@ -141,7 +146,7 @@
     prepare.map.assign(sets, { ranks, { 1, 20, 300, 40, 500, 60 } });
     relayed.order = prepare;
     wire::message_decoder decoder(std::size_t { 72 } * 1024 * 1024);
-    decoder.feed(wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = relayed }));
+    decoder.feed(wire::encode({ .sender = {}, .senderIncarnation = {}, .version = {}, .content = relayed }));
     const auto back = decoder.next();
     ASSERT_TRUE(back && *back);
     EXPECT_EQ(std::get<wire::rank_prepare>(std::get<wire::relayed_order>((*back)->content).order).map, prepare.map);
@@ -150,7 +155,7 @@
 // A relayed order with any one byte changed is either decoded as some order or rejected.
 RC_GTEST_PROP(Codec, ADamagedRelayedOrderIsReadOrRefused, ())
 {
-    auto bytes = wire::encode({ .sender = {}, .senderLife = {}, .version = {}, .content = relayedArm() });
+    auto bytes = wire::encode({ .sender = {}, .senderIncarnation = {}, .version = {}, .content = relayedArm() });
     const auto damaged = *rc::gen::inRange<std::size_t>(0, bytes.size());
     bytes[damaged] = *rc::gen::arbitrary<char>();
     const auto back = decode(bytes);
--- a/coltsfootbend/wire/messages.h
+++ b/coltsfootbend/wire/messages.h
@@ -386,7 +386,7 @@
 // A message: the sender's identity and configuration version, and the body.
 struct message {
     vm_id sender;
-    incarnation senderLife;
+    incarnation senderIncarnation;
     config_version version; // Version of the configuration that the sender has in force.
     body content;
 };
