--- a/coltsfootbend/entry/caller_exchange.cpp
+++ b/coltsfootbend/entry/caller_exchange.cpp
@@ -61,7 +61,10 @@
         return attempt_refused { received.reason, std::chrono::milliseconds(received.retryAfterMs) };
     }
     std::optional<event_payload> operator()(const wire::failed&) const { return attempt_failed {}; }
-    std::optional<event_payload> operator()(const wire::other_life&) const { return other_incarnation_answered {}; }
+    std::optional<event_payload> operator()(const wire::other_incarnation&) const
+    {
+        return other_incarnation_answered {};
+    }
     std::optional<event_payload> operator()(const wire::revoke_reply& received) const
     {
         return revoke_answered { received.verdict };
@@ -289,7 +292,7 @@
     m_deployment.routes.recordDispatch(now, action.place.worker, action.attempt, m_parsed.routing);
     const auto expected = m_parsed.routing.serviceTime + m_parsed.routing.prefillTime;
     wire::dispatch message { .attempt = action.attempt,
-        .workerLife = action.place.workerIncarnation,
+        .workerIncarnation = action.place.workerIncarnation,
         .customer = m_parsed.flow.customer,
         .priority = m_parsed.priority,
         .weight = m_parsed.weight,
--- a/coltsfootbend/execution/attempt_executor.h
+++ b/coltsfootbend/execution/attempt_executor.h
@@ -6,7 +6,7 @@
 // `attempt_table`, `admission_queue` and `claim_ledger`. Does not choose a worker: see `routing/router.h`.
 //
 //     attempt_executor executor({ .ownIncarnation = incarnation, ... });
-//     executor.dispatch(now, job, job.workerLife);
+//     executor.dispatch(now, job, job.workerIncarnation);
 //     for (const auto& action : executor.takeActions()) perform(action);
 //     auto piece = executor.nextPiece(attempt, position); // what to send to the entry VM next
 
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -28,24 +28,25 @@
 
 static auto fieldsOf(dispatch& value)
 {
-    return std::tie(value.attempt, value.workerLife, value.customer, value.priority, value.weight, value.deadlineLeftUs,
-        value.expectedServiceUs, value.deployment, value.method, value.target, value.contentType, value.body);
+    return std::tie(value.attempt, value.workerIncarnation, value.customer, value.priority, value.weight,
+        value.deadlineLeftUs, value.expectedServiceUs, value.deployment, value.method, value.target, value.contentType,
+        value.body);
 }
 static auto fieldsOf(head& value) { return std::tie(value.status, value.contentType); }
 static auto fieldsOf(bytes& value) { return std::tie(value.offset, value.data); }
 static auto fieldsOf(end& value) { return std::tie(value.totalBytes); }
 static auto fieldsOf(refused& value) { return std::tie(value.reason, value.retryAfterMs); }
 static auto fieldsOf(failed&) { return std::tie(); }
-static auto fieldsOf(other_life&) { return std::tie(); }
-static auto fieldsOf(revoke& value) { return std::tie(value.attempt, value.workerLife); }
+static auto fieldsOf(other_incarnation&) { return std::tie(); }
+static auto fieldsOf(revoke& value) { return std::tie(value.attempt, value.workerIncarnation); }
 static auto fieldsOf(revoke_reply& value) { return std::tie(value.verdict); }
-static auto fieldsOf(join& value) { return std::tie(value.attempt, value.workerLife, value.offset); }
-static auto fieldsOf(cancel& value) { return std::tie(value.attempt, value.workerLife); }
+static auto fieldsOf(join& value) { return std::tie(value.attempt, value.workerIncarnation, value.offset); }
+static auto fieldsOf(cancel& value) { return std::tie(value.attempt, value.workerIncarnation); }
 static auto fieldsOf(claim& value) { return std::tie(value.request); }
 static auto fieldsOf(claim_reply& value) { return std::tie(value.verdict, value.holder); }
 static auto fieldsOf(close& value)
 {
-    return std::tie(value.key, value.attemptNumber, value.releases, value.ticketLife);
+    return std::tie(value.key, value.attemptNumber, value.releases, value.ticketIncarnation);
 }
 static auto fieldsOf(load& value)
 {
--- a/coltsfootbend/wire/codec_test.cpp
+++ b/coltsfootbend/wire/codec_test.cpp
@@ -10,7 +10,7 @@
 {
     wire::dispatch dispatch;
     dispatch.attempt = { vm_id("e"), incarnation(3), 9 };
-    dispatch.workerLife = incarnation(4);
+    dispatch.workerIncarnation = incarnation(4);
     dispatch.customer = customer_id("c");
     dispatch.weight = 1.5;
     dispatch.body = std::string("\0binary", 7);
--- a/coltsfootbend/wire/messages.h
+++ b/coltsfootbend/wire/messages.h
@@ -18,7 +18,7 @@
 // Entry to worker daemon: asks for an attempt to be run.
 struct dispatch {
     attempt_id attempt;
-    incarnation workerLife;
+    incarnation workerIncarnation;
     customer_id customer;
     std::uint32_t priority = 0;
     double weight = 1;
@@ -50,12 +50,12 @@
 // Worker daemon to entry: the attempt was started, and its response will never be complete.
 struct failed { };
 // The addressed incarnation of the worker daemon has terminated; a later one received the message.
-struct other_life { };
+struct other_incarnation { };
 
 // Entry to worker daemon: asks that an attempt is never started, or how far it has got.
 struct revoke {
     attempt_id attempt;
-    incarnation workerLife;
+    incarnation workerIncarnation;
 };
 struct revoke_reply {
     revoke_verdict verdict = revoke_verdict::Forgotten;
@@ -63,13 +63,13 @@
 // Entry to worker daemon: asks for the response of an attempt from `offset` on, including the bytes still to come.
 struct join {
     attempt_id attempt;
-    incarnation workerLife;
+    incarnation workerIncarnation;
     std::uint64_t offset = 0;
 };
 // Entry to worker daemon: the caller has disconnected and no other caller can join the attempt, so the engine may stop.
 struct cancel {
     attempt_id attempt;
-    incarnation workerLife;
+    incarnation workerIncarnation;
 };
 
 // Entry to the home of an idempotency key: claims the key for an attempt.
@@ -86,7 +86,7 @@
     customer_key key;
     std::uint32_t attemptNumber = 0;
     std::vector<attempt_id> releases; // At most one element.
-    incarnation ticketLife;
+    incarnation ticketIncarnation;
 };
 
 // The load that a worker daemon measures.
@@ -377,11 +377,11 @@
     std::string remedy;
 };
 
-using body = std::variant<dispatch, head, bytes, end, refused, failed, other_life, revoke, revoke_reply, join, cancel,
-    claim, claim_reply, close, load, announce, acknowledge, config_request, config_reply, config_notice, problem, drain,
-    deployment_request, deployment_reply, rank_query, rank_state, rank_prepare, rank_arm, load_subscribe, load_update,
-    rank_release, rank_disarm, relayed_order, relayed_answers, crash_report, port_inquiry, port_finding,
-    deployment_inquiry, deployment_knowledge, permit_request, permit_reply>;
+using body = std::variant<dispatch, head, bytes, end, refused, failed, other_incarnation, revoke, revoke_reply, join,
+    cancel, claim, claim_reply, close, load, announce, acknowledge, config_request, config_reply, config_notice,
+    problem, drain, deployment_request, deployment_reply, rank_query, rank_state, rank_prepare, rank_arm,
+    load_subscribe, load_update, rank_release, rank_disarm, relayed_order, relayed_answers, crash_report, port_inquiry,
+    port_finding, deployment_inquiry, deployment_knowledge, permit_request, permit_reply>;
 
 // A message: the sender's identity and configuration version, and the body.
 struct message {
--- a/coltsfootbend/worker/worker_service.cpp
+++ b/coltsfootbend/worker/worker_service.cpp
@@ -130,7 +130,7 @@
     admitted->deadline = deadline;
     // A duplicate dispatch must not replace the run of the first one, because other streams may be following that run.
     m_runs.try_emplace(request.attempt, admitted);
-    if (const auto refused = m_executor.dispatch(now, job, request.workerLife)) {
+    if (const auto refused = m_executor.dispatch(now, job, request.workerIncarnation)) {
         if (m_runs.at(request.attempt) == admitted)
             m_runs.erase(request.attempt);
         (void)stream.send(toMessage(*refused), true);
@@ -143,18 +143,18 @@
 
 void worker_service::onRevoke(peer_stream& stream, const wire::revoke& request)
 {
-    const auto verdict = m_executor.revoke(clock_type::now(), request.attempt, request.workerLife);
+    const auto verdict = m_executor.revoke(clock_type::now(), request.attempt, request.workerIncarnation);
     performActions();
     if (verdict)
         (void)stream.send(wire::revoke_reply { *verdict }, true);
     else
-        (void)stream.send(wire::other_life {}, true);
+        (void)stream.send(wire::other_incarnation {}, true);
 }
 
 void worker_service::onJoin(peer_stream& stream, const wire::join& request)
 {
-    if (request.workerLife != m_incarnation) {
-        (void)stream.send(wire::other_life {}, true);
+    if (request.workerIncarnation != m_incarnation) {
+        (void)stream.send(wire::other_incarnation {}, true);
         return;
     }
     const auto found = m_runs.find(request.attempt);
@@ -165,7 +165,8 @@
 
 void worker_service::onCancel(peer_stream& stream, const wire::cancel& request)
 {
-    if (const auto found = m_runs.find(request.attempt); request.workerLife == m_incarnation && found != m_runs.end())
+    if (const auto found = m_runs.find(request.attempt);
+        request.workerIncarnation == m_incarnation && found != m_runs.end())
         found->second->cancelled = true;
     (void)stream.send(wire::acknowledge {}, true);
 }
@@ -179,7 +180,7 @@
 {
     const auto releases = request.releases.empty() ? std::nullopt : std::optional(request.releases.front());
     const auto reply
-        = m_executor.close(clock_type::now(), request.key, request.attemptNumber, request.ticketLife, releases);
+        = m_executor.close(clock_type::now(), request.key, request.attemptNumber, request.ticketIncarnation, releases);
     (void)stream.send(toMessage(reply), true);
 }
 
