--- a/coltsfootbend/entry/entry_service.cpp
+++ b/coltsfootbend/entry/entry_service.cpp
@@ -150,7 +150,7 @@
     const auto now = clock_type::now();
     for (const auto& [id, worker] : m_directory.workers()) {
         if (!worker.last.leaving && now < worker.suspectAt && worker.last.dataCentre == m_settings.dataCentre)
-            holders.push_back({ id, worker.last.life });
+            holders.push_back({ id, worker.last.workerIncarnation });
     }
     if (holders.empty()) {
         return notRunResponse({ error_kind::Unavailable, "no worker daemon can hold tickets now",
@@ -201,7 +201,7 @@
     if (!changed)
         return;
     logEvent(announcement.leaving ? log_event::WorkerLeaving : log_event::WorkerJoined,
-        "worker=" + announcement.worker.text() + " life=" + std::to_string(announcement.life.number()));
+        "worker=" + announcement.worker.text() + " life=" + std::to_string(announcement.workerIncarnation.number()));
     refreshRouters();
 }
 
--- a/coltsfootbend/group/agent_channel.cpp
+++ b/coltsfootbend/group/agent_channel.cpp
@@ -57,7 +57,7 @@
 
 wire::relay_target agent_channel::relayTarget() const
 {
-    return { .number = 0, .host = m_agent.ip, .life = 0, .dataCentre = m_dataCentre };
+    return { .number = 0, .host = m_agent.ip, .engineIncarnation = 0, .dataCentre = m_dataCentre };
 }
 
 void agent_channel::onRelayedAnswer(const result<wire::rank_state>& state)
--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -132,7 +132,9 @@
     {
         const auto own = m_group.dataCentreOf(m_from);
         const auto its = m_group.dataCentreOf(m_to);
-        return { .number = 0, .host = std::to_string(m_to), .life = 0, .dataCentre = its == own ? 0 : its + 1 };
+        return {
+            .number = 0, .host = std::to_string(m_to), .engineIncarnation = 0, .dataCentre = its == own ? 0 : its + 1
+        };
     }
     bool isAgentUnresponsive() const override { return false; }
     void onRelayedAnswer(const result<wire::rank_state>&) override { }
--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -144,7 +144,7 @@
     return { .term = m_term,
         .group = m_group,
         .epoch = m_epoch,
-        .life = rank < m_incarnations.size() ? m_incarnations[rank] : 0 };
+        .engineIncarnation = rank < m_incarnations.size() ? m_incarnations[rank] : 0 };
 }
 
 wire::order_scope map_leader::nextOrderScope()
@@ -184,7 +184,7 @@
 {
     order.scope = nextOrderScope();
     local_rank_order localOrder(m_runtime, m_participant, order, timeout);
-    order.scope.life = 0;
+    order.scope.engineIncarnation = 0;
     auto states = sendToAll(order, addresseesOf(members), timeout).states;
     states.insert(states.begin(), localOrder.wait());
     return states;
@@ -193,7 +193,7 @@
 template <typename Order> std::vector<result<wire::rank_state>> map_leader::orderMembers(Order order, duration timeout)
 {
     order.scope = nextOrderScope();
-    order.scope.life = 0;
+    order.scope.engineIncarnation = 0;
     return sendToAll(order, addresseesOf(m_members), timeout).states;
 }
 
@@ -357,9 +357,10 @@
         const auto& state = states[rank];
         if (!state)
             continue;
-        isRestarted
-            = isRestarted || (m_incarnations[rank] != 0 && state->life != 0 && m_incarnations[rank] != state->life);
-        m_incarnations[rank] = state->life;
+        isRestarted = isRestarted
+            || (m_incarnations[rank] != 0 && state->engineIncarnation != 0
+                && m_incarnations[rank] != state->engineIncarnation);
+        m_incarnations[rank] = state->engineIncarnation;
     }
     if (epoch == m_epoch && m_group == m_knownGroup && !isRestarted)
         return;
@@ -587,7 +588,7 @@
         return;
     if (const auto* at = holder()) {
         wire::rank_release release { .scope = nextOrderScope(), .step = step };
-        release.scope.life = queryScope(at->rank).life;
+        release.scope.engineIncarnation = queryScope(at->rank).engineIncarnation;
         const auto state = at->channel->ask(release, clock_type::now() + holderReleaseTimeout);
         if (state && isOfFormation(*state) && state->heldStep == 0)
             return;
--- a/coltsfootbend/group/map_leader_test.cpp
+++ b/coltsfootbend/group/map_leader_test.cpp
@@ -224,7 +224,7 @@
 
     wire::relay_target relayTarget() const override
     {
-        return { .number = 0, .host = std::to_string(m_index), .life = 0, .dataCentre = 0 };
+        return { .number = 0, .host = std::to_string(m_index), .engineIncarnation = 0, .dataCentre = 0 };
     }
     bool isAgentUnresponsive() const override { return clock_type::now() < m_unresponsiveUntil; }
     void onRelayedAnswer(const result<wire::rank_state>& state) override
--- a/coltsfootbend/group/map_participant.cpp
+++ b/coltsfootbend/group/map_participant.cpp
@@ -104,7 +104,7 @@
     enterGroup(report.group->name);
     const auto& group = *report.group;
     wire::rank_state state;
-    state.life = report.incarnation.number();
+    state.engineIncarnation = report.incarnation.number();
     state.term = m_term;
     state.group = group.name;
     state.epoch = group.epoch;
@@ -209,7 +209,9 @@
         return false;
     if (std::holds_alternative<wire::rank_query>(order))
         return true;
-    return scope.epoch == state.epoch && (scope.life == 0 || state.life == 0 || scope.life == state.life);
+    return scope.epoch == state.epoch
+        && (scope.engineIncarnation == 0 || state.engineIncarnation == 0
+            || scope.engineIncarnation == state.engineIncarnation);
 }
 
 group_formation map_participant::formationOf(const wire::order_scope& scope) const
--- a/coltsfootbend/group/map_participant_test.cpp
+++ b/coltsfootbend/group/map_participant_test.cpp
@@ -106,7 +106,7 @@
         auto otherEpoch = scope(1);
         otherEpoch.epoch = 2;
         auto otherIncarnation = scope(1);
-        otherIncarnation.life = 4;
+        otherIncarnation.engineIncarnation = 4;
         for (const auto& wrong : { otherGroup, otherEpoch, otherIncarnation }) {
             const auto state = participant.answer(
                 wire::rank_arm { .scope = wrong, .version = 7, .step = 100 }, clock_type::now() + 60ms);
@@ -118,7 +118,7 @@
         }
         EXPECT_EQ(engine.orders, 0);
         auto right = scope(1);
-        right.life = 5;
+        right.engineIncarnation = 5;
         (void)participant.answer(
             wire::rank_arm { .scope = right, .version = 7, .step = 100 }, clock_type::now() + 60ms);
         EXPECT_GT(engine.orders, 0);
@@ -199,7 +199,7 @@
         ASSERT_TRUE(state);
         EXPECT_EQ(state->armedVersion, 0U);
         EXPECT_FALSE(participant.isArmed());
-        EXPECT_EQ(state->life, 2U);
+        EXPECT_EQ(state->engineIncarnation, 2U);
         engine.nextReport.incarnation = engine_incarnation(1);
         EXPECT_FALSE(participant.answer(query, clock_type::now() + 1s)) << "a report from before the restart";
     });
--- a/coltsfootbend/group/order_relay_test.cpp
+++ b/coltsfootbend/group/order_relay_test.cpp
@@ -53,7 +53,7 @@
         own.rank = order.own.number;
         own.ranks = m_ranks;
         own.target = order.own.number;
-        own.life = order.own.life;
+        own.engineIncarnation = order.own.engineIncarnation;
         gathered.states.push_back(own);
         addCounts(gathered.demand, { 1, order.own.number });
         m_runtime.sleepUntil(std::min(deadline, clock_type::now() + 1ms));
@@ -133,7 +133,7 @@
         EXPECT_EQ(got.demand, (std::vector<std::uint32_t> { ranks, ranks * (ranks - 1) / 2 }));
         EXPECT_EQ(agents.messages, std::size_t { ranks }) << "each rank receives the order once";
         for (const auto& state : got.states)
-            EXPECT_EQ(state.life, 1000 + state.target) << "the order names the incarnation of each rank";
+            EXPECT_EQ(state.engineIncarnation, 1000 + state.target) << "the order names the incarnation of each rank";
     });
 }
 
--- a/coltsfootbend/group/rank_channel.cpp
+++ b/coltsfootbend/group/rank_channel.cpp
@@ -57,7 +57,7 @@
         }
         auto target = to[i].channel->relayTarget();
         target.number = static_cast<std::uint32_t>(i);
-        target.life = to[i].incarnation;
+        target.engineIncarnation = to[i].incarnation;
         target.reportsDemand = to[i].reportsDemand;
         partition.targets.push_back(std::move(target));
     }
@@ -93,7 +93,7 @@
 
 wire::rank_order orderFor(wire::rank_order order, std::uint64_t engineIncarnation, bool reportsDemand)
 {
-    std::visit([engineIncarnation](auto& message) { message.scope.life = engineIncarnation; }, order);
+    std::visit([engineIncarnation](auto& message) { message.scope.engineIncarnation = engineIncarnation; }, order);
     if (auto* query = std::get_if<wire::rank_query>(&order))
         query->wantsDemand = query->wantsDemand && reportsDemand;
     return order;
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -203,7 +203,7 @@
     update.totalTokens = report.totalTokens;
     update.pace = report.pace;
     update.step = report.step;
-    update.life = report.incarnation.number();
+    update.engineIncarnation = report.incarnation.number();
     update.subscribers = static_cast<std::uint32_t>(m_subscribers.all().size());
     const auto now = clock_type::now();
     update.configuration = m_subscribers.configuration(now);
--- a/coltsfootbend/group/relay_peers.cpp
+++ b/coltsfootbend/group/relay_peers.cpp
@@ -112,7 +112,8 @@
 // Returns the state of the own rank; no state if the engine does not report it.
 gathered_states relay_node::answerForOwnRank(const wire::relayed_order& order, time_point deadline)
 {
-    auto state = m_participant.answer(orderFor(order.order, order.own.life, order.own.reportsDemand), deadline);
+    auto state
+        = m_participant.answer(orderFor(order.order, order.own.engineIncarnation, order.own.reportsDemand), deadline);
     wire::rank_state ownState;
     if (state)
         ownState = std::move(*state);
--- a/coltsfootbend/group/relayed_states.cpp
+++ b/coltsfootbend/group/relayed_states.cpp
@@ -25,7 +25,7 @@
 {
     return { .target = state.target,
         .rank = state.rank,
-        .life = state.life,
+        .engineIncarnation = state.engineIncarnation,
         .steps = static_cast<std::int64_t>(state.step) - static_cast<std::int64_t>(common.step),
         .requests = state.requests,
         .pacePercent = static_cast<std::uint32_t>(std::lround(std::max(0.0, state.pace) * percent)) };
@@ -61,7 +61,7 @@
         auto state = answers.common;
         state.target = difference.target;
         state.rank = difference.rank;
-        state.life = difference.life;
+        state.engineIncarnation = difference.engineIncarnation;
         state.step = static_cast<std::uint64_t>(static_cast<std::int64_t>(state.step) + difference.steps);
         state.requests = difference.requests;
         state.pace = difference.pacePercent / percent;
--- a/coltsfootbend/group/relayed_states_test.cpp
+++ b/coltsfootbend/group/relayed_states_test.cpp
@@ -22,7 +22,7 @@
     state.mapVersion = 70'000;
     state.highestVersion = 70'000;
     state.requests = rank % 7;
-    state.life = 1'750'000'000'000 + rank;
+    state.engineIncarnation = 1'750'000'000'000 + rank;
     state.target = rank;
     return state;
 }
@@ -72,7 +72,7 @@
         state.armedStep = mostly(state.armedStep);
         state.heldStep = mostly(state.heldStep);
         state.highestVersion = mostly(state.highestVersion);
-        state.life = mostly(state.life);
+        state.engineIncarnation = mostly(state.engineIncarnation);
         state.isOpen = mostly(1) != 0;
         state.isArmUncertain = mostly(0) != 0;
         state.lacksBase = mostly(0) != 0;
@@ -98,7 +98,7 @@
         RC_ASSERT(back[i].armedStep == all[i].armedStep);
         RC_ASSERT(back[i].heldStep == all[i].heldStep);
         RC_ASSERT(back[i].highestVersion == all[i].highestVersion);
-        RC_ASSERT(back[i].life == all[i].life);
+        RC_ASSERT(back[i].engineIncarnation == all[i].engineIncarnation);
         RC_ASSERT(back[i].isOpen == all[i].isOpen);
         RC_ASSERT(back[i].isArmUncertain == all[i].isArmUncertain);
         RC_ASSERT(back[i].lacksBase == all[i].lacksBase);
--- a/coltsfootbend/measure/cost_scenarios.cpp
+++ b/coltsfootbend/measure/cost_scenarios.cpp
@@ -103,7 +103,7 @@
         for (std::size_t i = 0; i < count; ++i) {
             wire::announce word;
             word.worker = vm_id("worker-" + std::to_string(i));
-            word.life = incarnation(i + 1);
+            word.workerIncarnation = incarnation(i + 1);
             word.address = "10.0.0.1:9000";
             word.deployments = { deployment_id("drafts") };
             (void)directory->observe(start, word);
@@ -121,7 +121,7 @@
 {
     wire::announce word;
     word.worker = vm_id("worker-1234");
-    word.life = incarnation(~0ULL);
+    word.workerIncarnation = incarnation(~0ULL);
     word.dataCentre = data_centre_id("ist-1");
     word.address = "10.20.30.40:9000";
     word.deployments = { deployment_id("drafts") };
--- a/coltsfootbend/measure/membership_scenarios.cpp
+++ b/coltsfootbend/measure/membership_scenarios.cpp
@@ -41,7 +41,7 @@
         if (m_time.now() >= m_deadUntil[worker]) {
             wire::announce word;
             word.worker = nameOf(worker);
-            word.life = incarnation(static_cast<std::uint64_t>(m_lives[worker]) + 1);
+            word.workerIncarnation = incarnation(static_cast<std::uint64_t>(m_lives[worker]) + 1);
             word.deployments = { deployment_id("d") };
             const auto delay = uniform() < stallShare ? 500ms : 1ms;
             if (uniform() >= lossShare)
--- a/coltsfootbend/membership/worker_directory.cpp
+++ b/coltsfootbend/membership/worker_directory.cpp
@@ -19,11 +19,11 @@
     const auto [found, isNew] = m_workers.try_emplace(announcement.worker);
     auto& worker = found->second;
     const auto& earlier = worker.formerIncarnations;
-    if (std::find(earlier.begin(), earlier.end(), announcement.life) != earlier.end())
+    if (std::find(earlier.begin(), earlier.end(), announcement.workerIncarnation) != earlier.end())
         return false;
-    const bool isNewIncarnation = !isNew && worker.last.life != announcement.life;
+    const bool isNewIncarnation = !isNew && worker.last.workerIncarnation != announcement.workerIncarnation;
     if (isNewIncarnation) {
-        worker.formerIncarnations.push_back(worker.last.life);
+        worker.formerIncarnations.push_back(worker.last.workerIncarnation);
         if (worker.formerIncarnations.size() > maxFormerIncarnations)
             worker.formerIncarnations.pop_front();
     }
@@ -62,7 +62,7 @@
         const auto& served = worker.last.deployments;
         if (std::find(served.begin(), served.end(), deployment) == served.end())
             continue;
-        found.push_back({ .place = { id, worker.last.life },
+        found.push_back({ .place = { id, worker.last.workerIncarnation },
             .leaving = worker.last.leaving,
             .remote = worker.last.dataCentre != m_options.own,
             .suspected = now >= worker.suspectAt });
--- a/coltsfootbend/membership/worker_directory_test.cpp
+++ b/coltsfootbend/membership/worker_directory_test.cpp
@@ -14,7 +14,7 @@
 {
     wire::announce announcement;
     announcement.worker = vm_id("w");
-    announcement.life = incarnation(life);
+    announcement.workerIncarnation = incarnation(life);
     announcement.dataCentre = data_centre_id("here");
     announcement.deployments = { deployment_id("d") };
     announcement.leaving = leaving;
--- a/coltsfootbend/operators/operator_service.cpp
+++ b/coltsfootbend/operators/operator_service.cpp
@@ -127,7 +127,7 @@
         json deployments = json::array();
         for (const auto& deployment : worker.last.deployments)
             deployments.push_back(deployment.text());
-        workers.push_back({ { "vm", id.text() }, { "life", worker.last.life.number() }, { "state", state },
+        workers.push_back({ { "vm", id.text() }, { "life", worker.last.workerIncarnation.number() }, { "state", state },
             { "data_centre", worker.last.dataCentre.text() }, { "address", worker.last.address },
             { "deployments", deployments }, { "slots", worker.last.current.slots },
             { "pending_ms", pendingMs(worker.last.current) } });
--- a/coltsfootbend/permits/permit_service.cpp
+++ b/coltsfootbend/permits/permit_service.cpp
@@ -19,7 +19,7 @@
 wire::server_limit toWire(const permit_subject& subject, const limit_statement& statement, time_point now)
 {
     return { .server = subject.text(),
-        .life = statement.serverIncarnation,
+        .serverIncarnation = statement.serverIncarnation,
         .perSecond = statement.perSecond,
         .isNamed = statement.isNamed,
         .ageMs = static_cast<std::uint64_t>(remaining(statement.at, now).count()) };
@@ -27,7 +27,7 @@
 
 limit_statement fromWire(const wire::server_limit& limit, time_point now)
 {
-    return { .serverIncarnation = limit.life,
+    return { .serverIncarnation = limit.serverIncarnation,
         .perSecond = std::max(0.0, limit.perSecond),
         .isNamed = limit.isNamed,
         .at = now - std::chrono::milliseconds(std::min(limit.ageMs, maxAgeMs)) };
--- a/coltsfootbend/wire/codec.cpp
+++ b/coltsfootbend/wire/codec.cpp
@@ -54,8 +54,8 @@
 }
 static auto fieldsOf(announce& value)
 {
-    return std::tie(value.worker, value.life, value.dataCentre, value.address, value.deployments, value.leaving,
-        value.current, value.nextWithinUs);
+    return std::tie(value.worker, value.workerIncarnation, value.dataCentre, value.address, value.deployments,
+        value.leaving, value.current, value.nextWithinUs);
 }
 static auto fieldsOf(acknowledge&) { return std::tie(); }
 static auto fieldsOf(config_request& value) { return std::tie(value.have); }
@@ -75,7 +75,7 @@
 }
 static auto fieldsOf(order_scope& value)
 {
-    return std::tie(value.term, value.group, value.epoch, value.life, value.leaderRun, value.serial);
+    return std::tie(value.term, value.group, value.epoch, value.engineIncarnation, value.leaderRun, value.serial);
 }
 static auto fieldsOf(rank_query& value) { return std::tie(value.scope, value.wantsDemand, value.wantsMap); }
 static auto fieldsOf(rank_state& value)
@@ -83,7 +83,7 @@
     return std::tie(value.term, value.group, value.epoch, value.rank, value.ranks, value.isOpen, value.step,
         value.mapVersion, value.preparedVersion, value.armedVersion, value.armedStep, value.isArmUncertain,
         value.heldStep, value.highestVersion, value.pace, value.requests, value.lacksBase, value.demand, value.map,
-        value.life, value.preparedTerm, value.target);
+        value.engineIncarnation, value.preparedTerm, value.target);
 }
 static auto fieldsOf(rank_row& value) { return std::tie(value.set, value.rank, value.experts); }
 static auto fieldsOf(rank_prepare& value)
@@ -95,12 +95,12 @@
 static auto fieldsOf(rank_disarm& value) { return std::tie(value.scope, value.version); }
 static auto fieldsOf(relay_target& value)
 {
-    return std::tie(value.number, value.host, value.life, value.dataCentre, value.reportsDemand);
+    return std::tie(value.number, value.host, value.engineIncarnation, value.dataCentre, value.reportsDemand);
 }
 static auto fieldsOf(relayed_order& value) { return std::tie(value.order, value.own, value.others, value.timeLeftMs); }
 static auto fieldsOf(rank_state_difference& value)
 {
-    return std::tie(value.target, value.rank, value.life, value.steps, value.requests, value.pacePercent);
+    return std::tie(value.target, value.rank, value.engineIncarnation, value.steps, value.requests, value.pacePercent);
 }
 static auto fieldsOf(relayed_answers& value)
 {
@@ -114,7 +114,7 @@
 static auto fieldsOf(load_subscribe& value) { return std::tie(value.knows); }
 static auto fieldsOf(server_limit& value)
 {
-    return std::tie(value.server, value.life, value.perSecond, value.isNamed, value.ageMs);
+    return std::tie(value.server, value.serverIncarnation, value.perSecond, value.isNamed, value.ageMs);
 }
 static auto fieldsOf(permit_request& value) { return std::tie(value.limit, value.requestsPermit, value.serial); }
 static auto fieldsOf(permit_reply& value)
@@ -125,7 +125,7 @@
 {
     return std::tie(value.engine, value.running, value.waiting, value.usedTokens, value.totalTokens, value.pace,
         value.group, value.epoch, value.step, value.isOpen, value.subscribers, value.ranks, value.newerDeploymentAt,
-        value.life, value.configuration, value.servers, value.duty, value.crashes, value.limits);
+        value.engineIncarnation, value.configuration, value.servers, value.duty, value.crashes, value.limits);
 }
 static auto fieldsOf(crash_entry& value) { return std::tie(value.request, value.server, value.ageMs, value.isCleared); }
 static auto fieldsOf(port_inquiry& value) { return std::tie(value.address); }
--- a/coltsfootbend/wire/codec_test.cpp
+++ b/coltsfootbend/wire/codec_test.cpp
@@ -111,10 +111,11 @@
 wire::relayed_order relayedArm()
 {
     wire::relayed_order relayed;
-    relayed.order
-        = wire::rank_arm { .scope = { .term = 9, .group = "g", .epoch = 2, .life = 0 }, .version = 7, .step = 100 };
-    relayed.own = { .number = 1, .host = "10.0.0.1", .life = 5, .dataCentre = 0, .reportsDemand = true };
-    relayed.others = { { .number = 2, .host = "10.0.0.2", .life = 6, .dataCentre = 1 } };
+    relayed.order = wire::rank_arm {
+        .scope = { .term = 9, .group = "g", .epoch = 2, .engineIncarnation = 0 }, .version = 7, .step = 100
+    };
+    relayed.own = { .number = 1, .host = "10.0.0.1", .engineIncarnation = 5, .dataCentre = 0, .reportsDemand = true };
+    relayed.others = { { .number = 2, .host = "10.0.0.2", .engineIncarnation = 6, .dataCentre = 1 } };
     relayed.timeLeftMs = 300;
     return relayed;
 }
@@ -129,7 +130,7 @@
     EXPECT_EQ(arm.scope.group, "g");
     EXPECT_EQ(arm.version, 7U);
     EXPECT_EQ(arm.step, 100U);
-    EXPECT_EQ(relayed.own.life, 5U);
+    EXPECT_EQ(relayed.own.engineIncarnation, 5U);
     EXPECT_TRUE(relayed.own.reportsDemand);
     ASSERT_EQ(relayed.others.size(), 1U);
     EXPECT_EQ(relayed.others[0].host, "10.0.0.2");
--- a/coltsfootbend/wire/messages.h
+++ b/coltsfootbend/wire/messages.h
@@ -99,7 +99,7 @@
 // Worker daemon to the entry VMs that route to it.
 struct announce {
     vm_id worker;
-    incarnation life;
+    incarnation workerIncarnation;
     data_centre_id dataCentre;
     std::string address;
     std::vector<deployment_id> deployments;
@@ -165,7 +165,7 @@
     std::uint64_t term = 0; // Agents obey only the highest term that they have seen in their group.
     std::string group;
     std::uint64_t epoch = 0;
-    std::uint64_t life = 0; // Incarnation of the rank's engine as known to the leader; 0 if unknown.
+    std::uint64_t engineIncarnation = 0; // Incarnation of the rank's engine as known to the leader; 0 if unknown.
     // Identifies one run of the leader. Within a run, `serial` rises with each order, and a rank carries out no order
     // with a lower serial than one it has seen: a copy delayed at a bypassed agent may arrive after later orders.
     std::uint64_t leaderRun = 0;
@@ -200,7 +200,7 @@
     bool lacksBase = false; // The base map of the offered changes is unknown here; the whole map is needed.
     std::vector<std::uint32_t> demand; // Counts by set and expert; empty unless requested.
     std::vector<std::vector<std::uint32_t>> map; // Experts in use on this rank, by set; empty unless requested.
-    std::uint64_t life = 0; // Incarnation of the engine: its start in Unix milliseconds; 0 if not reported.
+    std::uint64_t engineIncarnation = 0; // Start of the engine in Unix milliseconds; 0 if not reported.
     std::uint64_t preparedTerm = 0; // Term of the order that prepared `preparedVersion`; 0 if unknown.
     std::uint32_t target = 0; // Number of the `relay_target` that this answers, for relayed orders.
 };
@@ -243,7 +243,7 @@
 struct relay_target {
     std::uint32_t number = 0; // Chosen by the leader; the answer repeats it.
     std::string host; // Host of the rank's agent, which listens on the port common to all agents.
-    std::uint64_t life = 0; // Incarnation for the scope of the order to this rank.
+    std::uint64_t engineIncarnation = 0; // Incarnation for the scope of the order to this rank.
     std::uint32_t dataCentre = 0; // Number assigned by the leader.
     bool reportsDemand = false; // Whether this rank reports its counts if the order asks for them.
 };
@@ -259,7 +259,7 @@
 struct rank_state_difference {
     std::uint32_t target = 0;
     std::uint32_t rank = 0;
-    std::uint64_t life = 0;
+    std::uint64_t engineIncarnation = 0;
     std::int64_t steps = 0; // Steps beyond those of the common state.
     std::uint32_t requests = 0;
     std::uint32_t pacePercent = 100;
@@ -303,7 +303,7 @@
 // Rate limit that a backend server has stated in its responses, for all gateways together.
 struct server_limit {
     std::string server; // Its registered name.
-    std::uint64_t life = 0; // Incarnation: Unix milliseconds of the server's start; 0 if not reported.
+    std::uint64_t serverIncarnation = 0; // Incarnation: Unix milliseconds of the server's start; 0 if not reported.
     double perSecond = 0;
     bool isNamed = false; // False once the server states no limit any more.
     std::uint64_t ageMs = 0; // Time since a gateway received the statement.
@@ -338,7 +338,7 @@
     std::uint32_t ranks = 0; // Number of ranks of the group.
     std::uint32_t subscribers = 0; // Number of gateways subscribed to this agent.
     std::string newerDeploymentAt; // Address of a gateway with a newer deployment than the receiver's; empty if none.
-    std::uint64_t life = 0; // Incarnation of the engine: its start in Unix milliseconds; 0 if not reported.
+    std::uint64_t engineIncarnation = 0; // Start of the engine in Unix milliseconds; 0 if not reported.
     // The newest confirmations that any gateway has reported to this agent.
     store_confirmation configuration;
     store_confirmation servers;
--- a/coltsfootbend/worker/worker_service.cpp
+++ b/coltsfootbend/worker/worker_service.cpp
@@ -352,7 +352,7 @@
 {
     const auto interval = isLocal ? localAnnounceInterval : remoteAnnounceInterval;
     const wire::announce announcement { .worker = m_settings.vm,
-        .life = m_incarnation,
+        .workerIncarnation = m_incarnation,
         .dataCentre = m_settings.dataCentre,
         .address = toString(m_settings.peers),
         .deployments = m_worker.deployments,
