--- a/coltsfootbend/daemon/main.cpp
+++ b/coltsfootbend/daemon/main.cpp
@@ -110,7 +110,7 @@
         if (!m_settings.entry && !m_settings.worker && !isOnDeployment)
             return {};
         m_kernel.add(std::make_unique<peer_service>(
-            m_runtime, peer_identity { .vm = m_settings.vm, .life = m_incarnation }, std::move(peers)));
+            m_runtime, peer_identity { .vm = m_settings.vm, .processIncarnation = m_incarnation }, std::move(peers)));
         if (isOnDeployment) {
             composeDeployment();
             return {};
--- a/coltsfootbend/gateway/crash_verifier_test.cpp
+++ b/coltsfootbend/gateway/crash_verifier_test.cpp
@@ -36,9 +36,9 @@
             int asked = 0;
             auto& core = *new kernel;
             core.add(std::make_unique<metrics_service>());
-            core.add(
-                std::make_unique<peer_service>(runtime, peer_identity { .vm = vm_id("agent"), .life = incarnation(1) },
-                    peer_service::options { .address = agentAddress, .serverTls = {}, .clientTls = {} }));
+            core.add(std::make_unique<peer_service>(runtime,
+                peer_identity { .vm = vm_id("agent"), .processIncarnation = incarnation(1) },
+                peer_service::options { .address = agentAddress, .serverTls = {}, .clientTls = {} }));
             auto* peers = core.find<peer_service>("peers");
             if (finding) {
                 peers->on<wire::port_inquiry>(
--- a/coltsfootbend/gateway/deployment_test_support.h
+++ b/coltsfootbend/gateway/deployment_test_support.h
@@ -118,7 +118,7 @@
     {
         core.add(std::make_unique<metrics_service>());
         core.add(std::make_unique<peer_service>(runtime,
-            peer_identity { .vm = vm_id(toString(address)), .life = incarnation(1) },
+            peer_identity { .vm = vm_id(toString(address)), .processIncarnation = incarnation(1) },
             peer_service::options { .address = address, .serverTls = {}, .clientTls = {} }));
         auto made = std::make_unique<deployment_watch>(runtime, std::make_unique<fake_store_client>(runtime, store),
             std::make_unique<version_decoder>(), std::move(options));
--- a/coltsfootbend/gateway/peer_reading_test.cpp
+++ b/coltsfootbend/gateway/peer_reading_test.cpp
@@ -78,7 +78,7 @@
     {
         m_core.add(std::make_unique<metrics_service>());
         auto made = std::make_unique<peer_service>(runtime,
-            peer_identity { .vm = vm_id(toString(address)), .life = incarnation(1) },
+            peer_identity { .vm = vm_id(toString(address)), .processIncarnation = incarnation(1) },
             peer_service::options { .address = address, .serverTls = {}, .clientTls = {} });
         made->on<wire::deployment_request>(
             [this, &runtime, answerTime](peer_stream& stream, const wire::message&, const wire::deployment_request&) {
--- a/coltsfootbend/wire/peer.cpp
+++ b/coltsfootbend/wire/peer.cpp
@@ -32,7 +32,7 @@
 result<void> peer_stream::send(wire::body body, bool last)
 {
     const auto bytes = wire::encode({ .sender = m_identity.vm,
-        .senderIncarnation = m_identity.life,
+        .senderIncarnation = m_identity.processIncarnation,
         .version = m_identity.version(),
         .content = std::move(body) });
     return m_stream->send(bytes, last);
--- a/coltsfootbend/wire/peer.h
+++ b/coltsfootbend/wire/peer.h
@@ -22,7 +22,7 @@
 // Identity that a process sends in each message, and the callback for each message that it receives.
 struct peer_identity {
     vm_id vm;
-    incarnation life;
+    incarnation processIncarnation;
     std::function<config_version()> version = [] { return config_version(); };
     std::function<void(const wire::message&)> onMessage = [](const wire::message&) {};
 };
