--- a/coltsfootbend/gateway/backend_notice.h
+++ b/coltsfootbend/gateway/backend_notice.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What a backend server asks for in its answers. Not for what it says of its load or of the request:
-// `response_metadata` in `gateway/header_codec.h` has those.
+// Requests that a backend server makes of the gateways in its answers. Doesn't hold what the server reports of its load
+// or of the request: see `response_metadata` in `gateway/header_codec.h`.
 //
 //     const backend_notice notice { .requestsPerSecond = 1.5, .rest = 3s };
 
@@ -11,18 +11,19 @@
 
 namespace coltsfootbend {
 
+// The notice in one answer: a limit, a backoff or the announcement that the server leaves.
 struct backend_notice {
-    // What the server takes from all gateways together; none where it names no limit.
+    // Rate limit for all gateways together; none if the server names no limit.
     std::optional<double> requestsPerSecond;
-    // For how long the server wants nothing from the gateway that it has just turned away.
+    // Backoff that the server demands of the gateway whose request it has just refused.
     std::optional<duration> rest;
-    // It names no limit, in an answer that is surely the server's own: a limit named before has ended.
+    // The answer is certainly the server's own and names no limit, which ends an earlier limit.
     bool endsLimit = false;
 
-    // It is about to end and wants no new work from anybody.
+    // The server is about to terminate and accepts no new work from any gateway.
     bool isLeaving = false;
 
-    // Whether the server asks for anything that can be read.
+    // Returns whether the answer names a limit, a backoff or the server's leaving.
     bool isAny() const { return requestsPerSecond || rest || isLeaving; }
 };
 
--- a/coltsfootbend/gateway/backend_notices.cpp
+++ b/coltsfootbend/gateway/backend_notices.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-backend_notices::server_state* backend_notices::enterLife(const backend_id& id, backend_life life)
+backend_notices::server_state* backend_notices::enterIncarnation(const backend_id& id, backend_life life)
 {
     auto& state = m_servers[id];
     if (life == state.life || life.isNone())
@@ -35,39 +35,39 @@
     return isSame ? &found->second : nullptr;
 }
 
-std::string backend_notices::takeLimit(server_state& state, const limit_statement& limit)
+std::string backend_notices::applyLimit(server_state& state, const limit_statement& limit)
 {
     const auto before = std::exchange(state.limit, limit);
     if (limitText(before) == limitText(limit))
         return {};
     if (!limit.isNamed) {
         state.permitUntil = {};
-        state.wishUntil = {};
+        state.requestPendingUntil = {};
     }
     return "limit_per_s=" + limitText(limit) + " before=" + limitText(before);
 }
 
-// A shorter rest does not shorten a longer one that the server has asked for before.
-std::string backend_notices::takeRest(server_state& state, duration length, time_point now)
+// A later notice with a shorter backoff does not shorten an earlier, longer one.
+std::string backend_notices::applyBackoff(server_state& state, duration length, time_point now)
 {
     const auto until = now + length;
-    if (until <= state.restUntil)
+    if (until <= state.backoffUntil)
         return {};
-    state.restUntil = until;
+    state.backoffUntil = until;
     return "rest_s=" + fixedText(toMilliseconds(length) / 1000, 2);
 }
 
-std::string backend_notices::takeLimitOf(
+std::string backend_notices::applyNoticeLimit(
     server_state& state, const backend_notice& notice, time_point sentAt, time_point now) const
 {
     const auto life = state.life.number();
     if (notice.requestsPerSecond)
-        return takeLimit(
+        return applyLimit(
             state, { .serverIncarnation = life, .perSecond = *notice.requestsPerSecond, .isNamed = true, .at = now });
-    // Answers overtake each other: only one to a later request shows that the server names no limit any more.
+    // Answers overtake each other: only the answer to a request sent after the limit was received can end the limit.
     if (!notice.endsLimit || !state.limit.isNamed || sentAt <= state.limit.at)
         return {};
-    return takeLimit(state, { .serverIncarnation = life, .perSecond = 0, .isNamed = false, .at = now });
+    return applyLimit(state, { .serverIncarnation = life, .perSecond = 0, .isNamed = false, .at = now });
 }
 
 std::string backend_notices::hearAnswer(
@@ -75,25 +75,25 @@
 {
     if (!notice.isAny() && !m_servers.contains(server.id))
         return {};
-    auto* state = enterLife(server.id, server.life);
+    auto* state = enterIncarnation(server.id, server.life);
     if (!state)
         return {};
-    state->heardAt = now;
-    auto news = takeLimitOf(*state, notice, sentAt, now);
+    state->lastReceivedAt = now;
+    auto changes = applyNoticeLimit(*state, notice, sentAt, now);
     if (notice.rest)
-        news += (news.empty() ? "" : " ") + takeRest(*state, *notice.rest, now);
+        changes += (changes.empty() ? "" : " ") + applyBackoff(*state, *notice.rest, now);
     if (notice.isLeaving && !std::exchange(state->isLeaving, true))
-        news += std::string(news.empty() ? "" : " ") + "leaving=yes";
-    return news;
+        changes += std::string(changes.empty() ? "" : " ") + "leaving=yes";
+    return changes;
 }
 
 std::string backend_notices::hearOthers(const backend_id& id, const limit_statement& limit, time_point now)
 {
-    auto* state = enterLife(id, backend_life(limit.serverIncarnation));
+    auto* state = enterIncarnation(id, backend_life(limit.serverIncarnation));
     if (!state)
         return {};
-    state->heardAt = now;
-    return state->limit.isSupersededBy(limit) ? takeLimit(*state, limit) : std::string();
+    state->lastReceivedAt = now;
+    return state->limit.isSupersededBy(limit) ? applyLimit(*state, limit) : std::string();
 }
 
 std::optional<limit_statement> backend_notices::limitOf(const backend_instance& server) const
@@ -111,9 +111,9 @@
 std::optional<time_point> backend_notices::closedUntil(const backend_instance& server, time_point now) const
 {
     const auto* state = find(server);
-    if (!state || (now >= state->restUntil && !state->isLeaving))
+    if (!state || (now >= state->backoffUntil && !state->isLeaving))
         return std::nullopt;
-    return state->isLeaving ? time_point::max() : state->restUntil;
+    return state->isLeaving ? time_point::max() : state->backoffUntil;
 }
 
 bool backend_notices::isLeaving(const backend_instance& server) const
@@ -144,47 +144,48 @@
     if (mayTake(server, now) || isClosed(server, now))
         return std::nullopt;
     auto& state = m_servers.at(server.id);
-    if (now < state.wishUntil)
+    if (now < state.requestPendingUntil)
         return std::nullopt;
-    state.wishUntil = now + m_options.wishLimit;
-    state.wishSerial = ++m_lastSerial;
-    return state.wishSerial;
+    state.requestPendingUntil = now + m_options.permitRequestTimeout;
+    state.requestSerial = ++m_lastSerial;
+    return state.requestSerial;
 }
 
 void backend_notices::expectPermit(
-    const backend_id& id, std::uint64_t serial, time_point expectedAt, std::uint32_t askers)
+    const backend_id& id, std::uint64_t serial, time_point expectedAt, std::uint32_t requesters)
 {
     const auto found = m_servers.find(id);
-    if (found == m_servers.end() || found->second.wishSerial != serial)
+    if (found == m_servers.end() || found->second.requestSerial != serial)
         return;
     found->second.permitExpectedAt = expectedAt;
-    found->second.askers = std::max(1U, askers);
+    found->second.requesters = std::max(1U, requesters);
 }
 
 void backend_notices::grant(const backend_id& id, std::uint64_t serial, time_point now)
 {
     const auto found = m_servers.find(id);
-    if (found == m_servers.end() || found->second.wishSerial != serial || now >= found->second.wishUntil)
+    if (found == m_servers.end() || found->second.requestSerial != serial || now >= found->second.requestPendingUntil)
         return;
-    found->second.wishUntil = {};
-    found->second.permitUntil = now + m_options.permitLimit;
+    found->second.requestPendingUntil = {};
+    found->second.permitUntil = now + m_options.permitLifetime;
 }
 
 time_point backend_notices::expectedAt(const backend_instance& server, time_point now) const
 {
     const auto* state = find(server);
-    return state && now < state->wishUntil ? std::max(now, state->permitExpectedAt) : now;
+    return state && now < state->requestPendingUntil ? std::max(now, state->permitExpectedAt) : now;
 }
 
 double backend_notices::shareOf(const backend_instance& server) const
 {
     const auto* state = find(server);
-    return state && state->limit.isNamed ? state->limit.perSecond / state->askers : 0;
+    return state && state->limit.isNamed ? state->limit.perSecond / state->requesters : 0;
 }
 
 void backend_notices::expire(time_point now)
 {
-    std::erase_if(m_servers, [&](const auto& entry) { return now >= entry.second.heardAt + m_options.memory; });
+    std::erase_if(
+        m_servers, [&](const auto& entry) { return now >= entry.second.lastReceivedAt + m_options.retention; });
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/backend_notices.h
+++ b/coltsfootbend/gateway/backend_notices.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// What backend servers have asked for in their answers and still hold to, and with it whether a server may get one more
-// request now. Each statement belongs to one life of a server, and to all gateways: what one hears the others learn by
-// way of the agents, and a server that names a limit gets only what a permit was issued for
-// (`permits/permit_issuer.h`). Deterministic. Not for what this process thinks of a server by itself: see
+// The notices of backend servers that are in force: rate limits, backoffs and announced leaving, and with them whether
+// a server may get another request now. Each notice belongs to one incarnation of a server. Limits hold for all
+// gateways: they are distributed through the rank agents, and a server with a limit gets only requests for which a
+// permit was issued (`permits/permit_issuer.h`). Deterministic. Doesn't estimate a server's health: see
 // `gateway/backend_picker.h`.
 //
-//     const auto news = notices.hearAnswer(server, facts.notice, sentAt, now);
+//     const auto changes = notices.hearAnswer(server, facts.notice, sentAt, now);
 //     if (notices.mayTake(server, now)) ...
 //     if (const auto serial = notices.wish(server, now)) // ask for a permit
 //     if (notices.take(server, now)) // send the request
@@ -21,15 +21,17 @@
 
 namespace coltsfootbend {
 
+// Keeps the notices of each server and the state of this gateway's permit requests.
 class backend_notices {
 public:
     struct options {
-        // A permit that is not used is lost after this, for it stands for a moment, not for a request.
-        duration permitLimit = std::chrono::milliseconds(500);
-        // An unanswered wish is repeated.
-        duration wishLimit = std::chrono::milliseconds(1000);
-        // What a server said that was not heard of for so long is forgotten.
-        duration memory = std::chrono::minutes(10);
+        // Validity of an unused permit. A permit allots a moment of the server's rate and can't be saved for a later
+        // one.
+        duration permitLifetime = std::chrono::milliseconds(500);
+        // Time after which a permit request without an answer may be repeated.
+        duration permitRequestTimeout = std::chrono::milliseconds(1000);
+        // Notices of a server are dropped if nothing about it was received for this long.
+        duration retention = std::chrono::minutes(10);
     };
 
     backend_notices()
@@ -41,62 +43,65 @@
     {
     }
 
-    // Takes what the answer to a request that was sent at `sentAt` asked for. Returns what has changed, for the log;
-    // empty when nothing has.
+    // Applies the notice in the answer to a request that was sent at `sentAt`. Returns the changes as text for the log;
+    // empty if nothing has changed.
     std::string hearAnswer(const backend_instance&, const backend_notice&, time_point sentAt, time_point now);
-    // Takes what others have heard of a server. Returns what has changed, as above.
+    // Applies a limit that other gateways have received. Returns the changes, as above.
     std::string hearOthers(const backend_id&, const limit_statement&, time_point now);
 
-    // What the server said last of its limit; none when it never spoke of one.
+    // Returns the latest statement about the server's limit; none if there has been no statement.
     std::optional<limit_statement> limitOf(const backend_instance&) const;
     bool isLimited(const backend_instance&) const;
 
-    // The server has said that it leaves.
+    // Returns whether the server has announced that it leaves.
     bool isLeaving(const backend_instance&) const;
-    // Until when the server wants nothing from this gateway, which is for ever if it leaves; none when it takes
-    // requests, if perhaps only with a permit.
+    // Returns until when the server accepts no requests from this gateway, which is forever if it leaves; none if it
+    // accepts requests, possibly only with a permit.
     std::optional<time_point> closedUntil(const backend_instance&, time_point now) const;
     bool isClosed(const backend_instance& server, time_point now) const { return closedUntil(server, now).has_value(); }
 
-    // Whether the server may get one more request now.
+    // Returns whether the server may get one more request now.
     bool mayTake(const backend_instance&, time_point now) const;
-    // Uses that up, if it is so.
+    // Returns the same, and uses up the permit if the server has a limit.
     bool take(const backend_instance&, time_point now);
 
-    // Wants one request for a limited server. Returns the number of a wish that is to be sent now; none when there is a
-    // permit, or a wish is out.
+    // Begins a permit request for one request to a limited server. Returns the serial number with which to send it;
+    // none if no permit is needed, a permit is held or a permit request is pending, or if the server is unavailable.
     std::optional<std::uint64_t> wish(const backend_instance&, time_point now);
-    // The wish will be granted about then; `askers` gateways wait for the same server.
-    void expectPermit(const backend_id&, std::uint64_t serial, time_point expectedAt, std::uint32_t askers);
-    // Without effect for a wish that was given up: a permit may come late.
+    // Records when the permit is expected and that `requesters` gateways wait for permits of the same server.
+    void expectPermit(const backend_id&, std::uint64_t serial, time_point expectedAt, std::uint32_t requesters);
+    // Records a granted permit. Without effect if the permit request has been repeated or has expired: permits may
+    // arrive late.
     void grant(const backend_id&, std::uint64_t serial, time_point now);
-    // When this gateway may send to a limited server next, as far as it knows; `now` when it knows nothing.
+    // Returns the expected time of this gateway's next permit for a limited server; `now` if unknown.
     time_point expectedAt(const backend_instance&, time_point now) const;
-    // This gateway's part of what a limited server takes, in requests a second.
+    // Returns this gateway's share of the rate of a limited server, in requests per second.
     double shareOf(const backend_instance&) const;
 
+    // Drops the notices of servers about which nothing was received for a long time.
     void expire(time_point now);
 
 private:
     struct server_state {
         backend_life life;
-        limit_statement limit; // Of any life that may be this one.
-        time_point restUntil {};
-        bool isLeaving = false; // Never taken back by the same life.
-        time_point heardAt {};
-        std::uint64_t wishSerial = 0;
-        time_point wishUntil {}; // While a wish is out.
-        time_point permitUntil {}; // While a permit is held.
+        limit_statement limit; // Of this incarnation, or of one that may be this one because it was not reported.
+        time_point backoffUntil {};
+        bool isLeaving = false; // Never withdrawn by the same incarnation.
+        time_point lastReceivedAt {};
+        std::uint64_t requestSerial = 0;
+        time_point requestPendingUntil {}; // End of the wait for a pending permit request.
+        time_point permitUntil {}; // End of the validity of a held permit.
         time_point permitExpectedAt {};
-        std::uint32_t askers = 1;
+        std::uint32_t requesters = 1;
     };
 
-    // Null for a former life. A life that was not told yet becomes the one that is.
-    server_state* enterLife(const backend_id&, backend_life);
+    // Returns the state for an incarnation and drops that of an earlier one; null if a later incarnation is known.
+    // State of an incarnation that was not reported is taken over by the first one that is.
+    server_state* enterIncarnation(const backend_id&, backend_life);
     const server_state* find(const backend_instance&) const;
-    static std::string takeLimit(server_state&, const limit_statement&);
-    static std::string takeRest(server_state&, duration length, time_point now);
-    std::string takeLimitOf(server_state&, const backend_notice&, time_point sentAt, time_point now) const;
+    static std::string applyLimit(server_state&, const limit_statement&);
+    static std::string applyBackoff(server_state&, duration length, time_point now);
+    std::string applyNoticeLimit(server_state&, const backend_notice&, time_point sentAt, time_point now) const;
 
     const options m_options;
     std::map<backend_id, server_state> m_servers;
--- a/coltsfootbend/gateway/backend_notices_test.cpp
+++ b/coltsfootbend/gateway/backend_notices_test.cpp
@@ -1,4 +1,4 @@
-// What servers ask for in their answers, as one gateway keeps it.
+// Tests how one gateway applies the notices in the answers of backend servers.
 
 #include "coltsfootbend/gateway/backend_notices.h"
 
@@ -12,7 +12,7 @@
 const backend_instance server { backend_id("b"), backend_life(7) };
 const time_point start { 100s };
 
-TEST(BackendNotices, AnAnswerWithoutALimitEndsItOnlyIfItsRequestWasSentAfterTheLimitWasHeard)
+TEST(BackendNotices, AnAnswerWithoutALimitEndsItOnlyIfItsRequestWasSentAfterTheLimitWasReceived)
 {
     backend_notices notices;
     EXPECT_EQ(
@@ -25,16 +25,16 @@
         notices.hearAnswer(server, { .endsLimit = true }, start + 31ms, start + 40ms), "limit_per_s=none before=0.20");
 }
 
-TEST(BackendNotices, ALimitBelongsToOneLifeOfTheServer)
+TEST(BackendNotices, ALimitBelongsToOneIncarnationOfTheServer)
 {
     backend_notices notices;
     (void)notices.hearAnswer(server, { .requestsPerSecond = 1 }, start, start);
     const backend_instance next { server.id, backend_life(8) };
     EXPECT_EQ(notices.hearAnswer(next, { .requestsPerSecond = 2 }, start, start), "limit_per_s=2.00 before=none");
-    EXPECT_EQ(notices.hearAnswer(server, { .requestsPerSecond = 3 }, start, start), "") << "a former life";
+    EXPECT_EQ(notices.hearAnswer(server, { .requestsPerSecond = 3 }, start, start), "") << "an earlier incarnation";
 }
 
-TEST(BackendNotices, AShorterRestDoesNotShortenALongerOne)
+TEST(BackendNotices, AShorterBackoffDoesNotShortenALongerOne)
 {
     backend_notices notices;
     EXPECT_EQ(notices.hearAnswer(server, { .rest = 3s }, start, start), "rest_s=3.00");
@@ -42,14 +42,15 @@
     EXPECT_EQ(notices.hearAnswer(server, { .rest = 4s }, start, start + 1s), "rest_s=4.00");
 }
 
-TEST(BackendNotices, ALifeThatHasSaidThatItLeavesNeverTakesItBack)
+TEST(BackendNotices, AnIncarnationThatHasAnnouncedThatItLeavesNeverWithdrawsIt)
 {
     backend_notices notices;
     EXPECT_EQ(notices.hearAnswer(server, { .isLeaving = true }, start, start), "leaving=yes");
     EXPECT_EQ(notices.hearAnswer(server, {}, start + 1s, start + 2s), "");
     EXPECT_FALSE(notices.mayTake(server, start + 1h));
     EXPECT_FALSE(notices.take(server, start + 1h));
-    EXPECT_TRUE(notices.mayTake({ server.id, backend_life(8) }, start + 1h)) << "another life has said nothing";
+    EXPECT_TRUE(notices.mayTake({ server.id, backend_life(8) }, start + 1h))
+        << "another incarnation has announced nothing";
 }
 
 } // namespace
--- a/coltsfootbend/gateway/limit_trial_test.cpp
+++ b/coltsfootbend/gateway/limit_trial_test.cpp
@@ -1,5 +1,5 @@
-// Many gateways and one server that names a limit, in virtual time: messages are late or lost, gateways and the agent
-// that issues permits are started anew, gateways stand still. What is checked is what the server sees.
+// Simulates many gateways and one server with a rate limit in virtual time. Messages are delayed or lost, gateways and
+// the agent that issues permits restart, and gateways freeze. The checks apply to the requests that reach the server.
 
 #include "coltsfootbend/gateway/backend_notices.h"
 
@@ -23,9 +23,9 @@
 struct trial_options {
     int gateways = 8;
     double limit = 1;
-    double requestsPerSecond = 5; // That each gateway would send here.
+    double requestsPerSecond = 5; // Offered load of each gateway.
     double lossShare = 0.05;
-    double restartsPerSecond = 0.1; // Of gateways.
+    double restartsPerSecond = 0.1; // Restarts of gateways.
     double agentRestartsPerSecond = 0.05;
     double freezesPerSecond = 0.1;
     unsigned seed = 1;
@@ -46,16 +46,17 @@
             step();
     }
 
-    // The most within 4 s, from 3 s after the server first named its limit, of gateways that it had told.
-    std::size_t mostFromTold() const
+    // Returns the largest number of requests within 4 s from gateways that had received the limit from the server.
+    // Counts from 3 s after the server first sent its limit.
+    std::size_t maxRequestsInWindow() const
     {
-        std::size_t most = 0;
+        std::size_t maximum = 0;
         for (auto first = m_counted.begin(); first != m_counted.end(); ++first) {
             const auto end = std::lower_bound(first, m_counted.end(), *first + 4s);
-            if (*first >= m_firstToldAt + 3s)
-                most = std::max(most, static_cast<std::size_t>(end - first));
+            if (*first >= m_firstReceivedAt + 3s)
+                maximum = std::max(maximum, static_cast<std::size_t>(end - first));
         }
-        return most;
+        return maximum;
     }
     std::size_t arrivals() const { return m_arrivals; }
 
@@ -64,86 +65,87 @@
 
     struct gateway_state {
         std::unique_ptr<backend_notices> notices = std::make_unique<backend_notices>();
-        std::optional<time_point> toldAt;
+        std::optional<time_point> limitReceivedAt;
         time_point frozenUntil {};
-        int life = 0;
+        int restarts = 0;
     };
-    struct late_event {
+    struct scheduled_event {
         time_point at;
         std::uint64_t order;
-        std::function<void()> what;
-        bool operator<(const late_event& other) const
+        std::function<void()> action;
+        bool operator<(const scheduled_event& other) const
         {
             return std::pair(at, order) < std::pair(other.at, other.order);
         }
     };
 
-    bool happens(double perSecond) { return draw() < perSecond * toMilliseconds(tick) / 1000; }
+    bool occurs(double perSecond) { return draw() < perSecond * toMilliseconds(tick) / 1000; }
     double draw() { return std::uniform_real_distribution<double>()(m_random); }
     duration drawDelay() { return fromMilliseconds(1 + 40 * draw() * draw()); }
 
-    void later(duration after, std::function<void()> what)
+    void schedule(duration after, std::function<void()> action)
     {
-        m_events.insert({ m_now + after, ++m_order, std::move(what) });
+        m_events.insert({ m_now + after, ++m_order, std::move(action) });
     }
-    // Datagrams may be lost.
-    void message(std::function<void()> what)
+    // Delivers a datagram after a random delay, or loses it.
+    void sendDatagram(std::function<void()> action)
     {
         if (draw() >= m_options.lossShare)
-            later(drawDelay(), std::move(what));
+            schedule(drawDelay(), std::move(action));
     }
-    // What reaches a gateway; one that stands still takes it when it goes on.
-    void reach(std::size_t number, int life, const std::function<void(gateway_state&)>& what)
+    // Delivers to a gateway unless it has restarted; a frozen gateway receives the sendDatagram when it resumes.
+    void deliver(std::size_t number, int restarts, const std::function<void(gateway_state&)>& action)
     {
         auto& gateway = m_gateways[number];
-        if (gateway.life != life)
+        if (gateway.restarts != restarts)
             return;
         if (m_now < gateway.frozenUntil) {
-            later(gateway.frozenUntil - m_now, [this, number, life, what] { reach(number, life, what); });
+            schedule(
+                gateway.frozenUntil - m_now, [this, number, restarts, action] { deliver(number, restarts, action); });
             return;
         }
-        what(gateway);
+        action(gateway);
     }
 
     void step()
     {
         while (!m_events.empty() && m_events.begin()->at <= m_now) {
-            const auto what = m_events.begin()->what;
+            const auto action = m_events.begin()->action;
             m_events.erase(m_events.begin());
-            what();
+            action();
         }
-        if (happens(m_options.agentRestartsPerSecond))
+        if (occurs(m_options.agentRestartsPerSecond))
             m_issuer = std::make_unique<permit_issuer>();
-        strike();
+        injectFaults();
         for (std::size_t i = 0; i < m_gateways.size(); ++i) {
-            if (m_now >= m_gateways[i].frozenUntil && happens(m_options.requestsPerSecond))
+            if (m_now >= m_gateways[i].frozenUntil && occurs(m_options.requestsPerSecond))
                 request(i);
         }
         for (const auto& permit : m_issuer->issue(m_now))
             reply(std::stoul(permit.requester.text()), permit.serial, true);
-        // Agents tell all gateways what servers have named.
+        // Agents report the limits of servers to all gateways.
         if ((m_now - start) % 100ms == duration::zero())
-            tellAll();
+            reportLimits();
     }
 
-    void strike()
+    void injectFaults()
     {
-        const auto drawn = std::uniform_int_distribution<std::size_t>(0, m_gateways.size() - 1)(m_random);
-        auto& gateway = m_gateways[drawn];
-        if (happens(m_options.restartsPerSecond))
-            gateway = { .toldAt = {}, .frozenUntil = m_now + 1s, .life = gateway.life + 1 };
-        if (happens(m_options.freezesPerSecond)) {
+        const auto chosen = std::uniform_int_distribution<std::size_t>(0, m_gateways.size() - 1)(m_random);
+        auto& gateway = m_gateways[chosen];
+        if (occurs(m_options.restartsPerSecond))
+            gateway = { .limitReceivedAt = {}, .frozenUntil = m_now + 1s, .restarts = gateway.restarts + 1 };
+        if (occurs(m_options.freezesPerSecond)) {
             gateway.frozenUntil = m_now + fromMilliseconds(4000 * draw());
-            gateway.toldAt.reset(); // A freeze excuses the gateway.
+            gateway.limitReceivedAt.reset(); // Not checked until it receives the limit again.
         }
     }
 
-    void tellAll()
+    void reportLimits()
     {
         for (const auto& [named, statement] : m_issuer->statements(m_now)) {
             for (std::size_t i = 0; i < m_gateways.size(); ++i) {
-                message([this, i, life = m_gateways[i].life, statement = statement] {
-                    reach(i, life, [this, statement](gateway_state& gateway) {
+                sendDatagram([this, i, restarts = m_gateways[i].restarts, statement = statement] {
+                    deliver(i, restarts, [this, statement](gateway_state& gateway) {
                         (void)gateway.notices->hearOthers(server.id, statement, m_now);
                     });
                 });
@@ -155,18 +157,19 @@
     {
         auto& gateway = m_gateways[number];
         if (const auto serial = gateway.notices->wish(server, m_now))
-            wish(number, *serial, true);
+            sendToIssuer(number, *serial, true);
         if (!gateway.notices->take(server, m_now))
             return; // It goes to another server.
-        later(drawDelay(), [this, number, life = gateway.life, sentAt = m_now] { arrive(number, life, sentAt); });
+        schedule(drawDelay(),
+            [this, number, restarts = gateway.restarts, sentAt = m_now] { arrive(number, restarts, sentAt); });
     }
 
-    void wish(std::size_t number, std::uint64_t serial, bool wants)
+    void sendToIssuer(std::size_t number, std::uint64_t serial, bool wantsPermit)
     {
         const auto limit = m_gateways[number].notices->limitOf(server);
-        message([this, number, serial, wants, limit = *limit] {
+        sendDatagram([this, number, serial, wantsPermit, limit = *limit] {
             m_issuer->receiveStatement(subject, limit, m_now);
-            if (!wants)
+            if (!wantsPermit)
                 return;
             m_issuer->requestPermit(subject, permit_requester(std::to_string(number)), serial, m_now);
             reply(number, serial, false);
@@ -176,8 +179,8 @@
     void reply(std::size_t number, std::uint64_t serial, bool isGranted)
     {
         const auto outlook = m_issuer->estimateWait(subject, permit_requester(std::to_string(number)), m_now);
-        message([this, number, serial, isGranted, outlook, life = m_gateways[number].life] {
-            reach(number, life, [this, serial, isGranted, outlook](gateway_state& gateway) {
+        sendDatagram([this, number, serial, isGranted, outlook, restarts = m_gateways[number].restarts] {
+            deliver(number, restarts, [this, serial, isGranted, outlook](gateway_state& gateway) {
                 gateway.notices->expectPermit(server.id, serial, outlook.expectedAt, outlook.waitingGateways);
                 if (isGranted)
                     gateway.notices->grant(server.id, serial, m_now);
@@ -185,21 +188,21 @@
         });
     }
 
-    void arrive(std::size_t number, int life, time_point sentAt)
+    void arrive(std::size_t number, int restarts, time_point sentAt)
     {
         ++m_arrivals;
         const auto& gateway = m_gateways[number];
-        if (gateway.life == life && gateway.toldAt && m_now >= *gateway.toldAt + 500ms)
+        if (gateway.restarts == restarts && gateway.limitReceivedAt && m_now >= *gateway.limitReceivedAt + 500ms)
             m_counted.push_back(m_now);
-        later(fromMilliseconds(20 + 300 * draw()), [this, number, life, sentAt] {
-            reach(number, life, [this, number, sentAt](gateway_state& told) {
-                if (m_firstToldAt == time_point::max())
-                    m_firstToldAt = m_now;
-                told.toldAt = told.toldAt.value_or(m_now);
-                const auto news
-                    = told.notices->hearAnswer(server, { .requestsPerSecond = m_options.limit }, sentAt, m_now);
-                if (!news.empty())
-                    wish(number, 0, false);
+        schedule(fromMilliseconds(20 + 300 * draw()), [this, number, restarts, sentAt] {
+            deliver(number, restarts, [this, number, sentAt](gateway_state& receiver) {
+                if (m_firstReceivedAt == time_point::max())
+                    m_firstReceivedAt = m_now;
+                receiver.limitReceivedAt = receiver.limitReceivedAt.value_or(m_now);
+                const auto changes
+                    = receiver.notices->hearAnswer(server, { .requestsPerSecond = m_options.limit }, sentAt, m_now);
+                if (!changes.empty())
+                    sendToIssuer(number, 0, false);
             });
         });
     }
@@ -208,17 +211,17 @@
     std::vector<gateway_state> m_gateways;
     std::unique_ptr<permit_issuer> m_issuer = std::make_unique<permit_issuer>();
     std::minstd_rand m_random;
-    std::set<late_event> m_events;
+    std::set<scheduled_event> m_events;
     std::uint64_t m_order = 0;
     time_point m_now = start;
-    time_point m_firstToldAt = time_point::max();
+    time_point m_firstReceivedAt = time_point::max();
     std::vector<time_point> m_counted;
     std::size_t m_arrivals = 0;
 };
 
 double allowed(double limit) { return 1.5 * limit * 4 + 5; }
 
-RC_GTEST_PROP(LimitTrial, NoServerGetsMoreThanItNamedFromGatewaysThatItTold, ())
+RC_GTEST_PROP(LimitTrial, NoServerGetsMoreThanItsLimitFromGatewaysThatReceivedIt, ())
 {
     const trial_options options { .gateways = *rc::gen::element(1, 3, 8, 46, 99),
         .limit = *rc::gen::element(0.0, 0.2, 1.0, 1.1, 3.0, 20.0),
@@ -228,10 +231,10 @@
         .seed = *rc::gen::inRange(1U, 1'000'000U) };
     limit_trial trial(options);
     trial.run(25s);
-    RC_ASSERT(static_cast<double>(trial.mostFromTold()) <= allowed(options.limit));
+    RC_ASSERT(static_cast<double>(trial.maxRequestsInWindow()) <= allowed(options.limit));
 }
 
-TEST(LimitTrial, AServerGetsNearlyWhatItTakesAlsoFromManyGateways)
+TEST(LimitTrial, AServerGetsNearlyItsLimitFromAnyNumberOfGateways)
 {
     for (const int gateways : { 1, 8, 99 }) {
         limit_trial trial({ .gateways = gateways,
@@ -242,7 +245,7 @@
             .freezesPerSecond = 0 });
         trial.run(30s);
         EXPECT_GT(trial.arrivals(), 45U) << gateways << " gateways";
-        EXPECT_LE(static_cast<double>(trial.mostFromTold()), allowed(2)) << gateways << " gateways";
+        EXPECT_LE(static_cast<double>(trial.maxRequestsInWindow()), allowed(2)) << gateways << " gateways";
     }
 }
 
--- a/coltsfootbend/gateway/permit_network.cpp
+++ b/coltsfootbend/gateway/permit_network.cpp
@@ -15,7 +15,7 @@
     , m_notices(notices)
     , m_agents(agents)
     , m_socket(socket)
-    , m_ownDesk(runtime, [this](const endpoint&, const wire::permit_reply& reply) { hear(reply); },
+    , m_localIssuer(runtime, [this](const endpoint&, const wire::permit_reply& reply) { hear(reply); },
           { .minPerSecond = 0, .delaySeed = std::random_device {}() })
 {
 }
@@ -40,10 +40,10 @@
     if (!m_agents.hasAny()) {
         const auto least = permit_issuer::options {}.minPerSecond;
         request.limit.perSecond = std::max(request.limit.perSecond, least) / m_gateways;
-        m_ownDesk.receiveRequest({}, request);
+        m_localIssuer.receiveRequest({}, request);
         return;
     }
-    // Without one that is heard nobody knows what others send: the server is left alone.
+    // Without a reachable issuer the rate of the other gateways is unknown, so nothing is sent to the server.
     if (const auto issuer = m_agents.issuerFor(server, now))
         m_socket.send(
             *issuer, wire::encode({ .sender = m_self, .senderIncarnation = {}, .version = {}, .content = request }));
@@ -53,8 +53,8 @@
 {
     const auto now = clock_type::now();
     const backend_id server(reply.limit.server);
-    if (m_agents.hasAny()) // What it told itself is no news.
-        hearLimit(reply.limit, now);
+    if (m_agents.hasAny()) // Without agents the reply is the gateway's own and only repeats the known limit.
+        receiveLimit(reply.limit, now);
     m_notices.expectPermit(
         server, reply.serial, now + std::chrono::milliseconds(reply.expectedInMs), reply.waitingGateways);
     if (reply.isGranted)
@@ -65,14 +65,14 @@
 {
     const auto now = clock_type::now();
     for (const auto& limit : limits)
-        hearLimit(limit, now);
+        receiveLimit(limit, now);
 }
 
-void permit_network::hearLimit(const wire::server_limit& limit, time_point now)
+void permit_network::receiveLimit(const wire::server_limit& limit, time_point now)
 {
-    const auto news = m_notices.hearOthers(backend_id(limit.server), fromWire(limit, now), now);
-    if (!news.empty())
-        logEvent(log_event::BackendNotice, "backend=" + limit.server + " " + news + " source=agent");
+    const auto changes = m_notices.hearOthers(backend_id(limit.server), fromWire(limit, now), now);
+    if (!changes.empty())
+        logEvent(log_event::BackendNotice, "backend=" + limit.server + " " + changes + " source=agent");
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/permit_network.h
+++ b/coltsfootbend/gateway/permit_network.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Connects what a gateway knows of servers' limits with the rest of the system: hears of limits from agents, tells
-// them, and asks the agent that issues a server's permits. That agent is the one beside the server, or else one of the
-// server's data centre, on which all gateways that hear the same agents agree. Where there are no agents at all, the
-// gateway issues itself its part of what the server takes.
+// Exchanges the limits of servers and permits for them between a gateway and the rank agents: receives limits from
+// agents, reports limits to them, and requests permits from the agent that issues them for a server. That agent is the
+// one on the server's VM, or else one of the server's data centre, which all gateways that reach the same agents choose
+// alike. In a deployment without agents the gateway issues permits for its share of the rate itself.
 //
 //     permit_network permits(runtime, settings.vm, notices, agents, directory, socket);
 //     permits.ask(server, serial);
@@ -16,32 +16,34 @@
 
 namespace coltsfootbend {
 
+// Sends and receives the messages about limits and permits, and updates `backend_notices` from them.
 class permit_network {
 public:
     permit_network(fiber_runtime&, vm_id self, backend_notices&, const agent_directory&, datagram_socket&);
 
-    // How many gateways there are, this one included.
+    // Sets the number of gateways, this one included.
     void setGateways(std::uint32_t count) { m_gateways = count; }
 
-    // Asks for a permit; `serial` is the number of the wish.
+    // Requests a permit; `serial` is the number of the permit request.
     void ask(const backend_server&, std::uint64_t serial);
-    // Tells at once what the server has just said.
+    // Reports the server's latest limit at once.
     void tell(const backend_server&);
+    // Applies an agent's reply to a permit request.
     void hear(const wire::permit_reply&);
-    // What an agent tells of the servers for which it issues permits.
+    // Applies the limits that an agent reports for the servers for which it issues permits.
     void hear(const std::vector<wire::server_limit>&);
-    void expire(time_point now) { m_ownDesk.expire(now); }
-    void stop() { m_ownDesk.stop(); }
+    void expire(time_point now) { m_localIssuer.expire(now); }
+    void stop() { m_localIssuer.stop(); }
 
 private:
     void send(const backend_server&, wire::permit_request);
-    void hearLimit(const wire::server_limit&, time_point now);
+    void receiveLimit(const wire::server_limit&, time_point now);
 
     const vm_id m_self;
     backend_notices& m_notices;
     const agent_directory& m_agents;
     datagram_socket& m_socket;
-    permit_service m_ownDesk;
+    permit_service m_localIssuer;
     std::uint32_t m_gateways = 1;
 };
 
--- a/coltsfootbend/gateway/quarantine_network.cpp
+++ b/coltsfootbend/gateway/quarantine_network.cpp
@@ -6,20 +6,22 @@
 
 namespace {
 
-// A request that was at one crash only is forgotten if all VMs end at once: most of these are innocent.
-constexpr std::size_t crashesToKeep = 2;
-// Enough that some are reached by everybody, few enough that a crash costs a gateway the same at any number of agents.
-// The others hear of it by way of the digests.
-constexpr std::size_t agentsToTell = 16;
+// Crashes of a request from which on its records are stored. Most requests with a single crash are unrelated to it, so
+// their records may be lost if all VMs terminate at once.
+constexpr std::size_t minCrashesToStore = 2;
+// Agents to which a gateway sends a new record. Enough that every process reaches some of them, and bounded so that the
+// cost of a crash for a gateway does not grow with the number of agents. The other agents receive it through the
+// digests.
+constexpr std::size_t maxNotifiedAgents = 16;
 
 } // namespace
 
 quarantine_network::quarantine_network(fiber_runtime& runtime, const daemon_settings& settings,
     const deployment_watch& watch, agent_directory& agents, peer_client& peers,
-    std::function<bool(const backend_server&)> saidItLeaves, crash_archive* archive, datagram_socket& socket)
+    std::function<bool(const backend_server&)> hasAnnouncedLeaving, crash_archive* archive, datagram_socket& socket)
     : m_watch(watch)
     , m_agents(agents)
-    , m_saidItLeaves(std::move(saidItLeaves))
+    , m_hasAnnouncedLeaving(std::move(hasAnnouncedLeaving))
     , m_archive(archive)
     , m_witness(runtime, peers, [this](const backend_server& server) { return m_agents.near(server); })
     , m_requests(
@@ -57,13 +59,13 @@
 {
     auto receivers = m_agents.all();
     std::shuffle(receivers.begin(), receivers.end(), m_random);
-    receivers.resize(std::min(receivers.size(), agentsToTell));
+    receivers.resize(std::min(receivers.size(), maxNotifiedAgents));
     m_gossip.send(records, receivers, clock_type::now());
     if (!m_archive)
         return;
     for (const auto& record : records) {
         const auto all = m_requests.history().recordsOf(record.request);
-        if (all.size() >= crashesToKeep)
+        if (all.size() >= minCrashesToStore)
             m_archive->queueWrite(all);
     }
 }
@@ -71,7 +73,7 @@
 bool quarantine_network::isLeaving(const backend_server& server) const
 {
     const auto* known = m_watch.directory().find(server.id);
-    return !known || known->isLeaving || m_saidItLeaves(server);
+    return !known || known->isLeaving || m_hasAnnouncedLeaving(server);
 }
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/quarantine_network.h
+++ b/coltsfootbend/gateway/quarantine_network.h
@@ -1,9 +1,10 @@
 #pragma once
 
-// Connects a gateway's quarantine with the rest of the system: rank agents, who prove crashes and pass news of them on,
-// and the store, which keeps what is serious. Not for the verdicts: see `quarantine/crash_history.h`.
+// Connects a gateway's quarantine with the rank agents, which confirm crashes and distribute crash records, and with
+// the store, which keeps the records of requests with repeated crashes. Doesn't decide which requests are quarantined:
+// see `quarantine/crash_history.h`.
 //
-//     quarantine_network network(runtime, settings, watch, agents, peers, saidItLeaves, archive, socket);
+//     quarantine_network network(runtime, settings, watch, agents, peers, hasAnnouncedLeaving, archive, socket);
 //     network.hearDigest(sender, news.crashes);
 //     exchange(..., network.requests(), ...)
 
@@ -19,30 +20,34 @@
 
 namespace coltsfootbend {
 
+// Owns the gateway's `request_quarantine` and exchanges its crash records with agents and the store.
 class quarantine_network {
 public:
-    // `saidItLeaves`: whether a server has told this gateway so itself. `archive` is null where nothing is kept.
+    // `hasAnnouncedLeaving` returns whether a server has announced to this gateway that it leaves. `archive` is null if
+    // no records are stored.
     quarantine_network(fiber_runtime&, const daemon_settings&, const deployment_watch&, agent_directory&, peer_client&,
-        std::function<bool(const backend_server&)> saidItLeaves, crash_archive* archive, datagram_socket&);
+        std::function<bool(const backend_server&)> hasAnnouncedLeaving, crash_archive* archive, datagram_socket&);
     quarantine_network(const quarantine_network&) = delete;
     quarantine_network& operator=(const quarantine_network&) = delete;
 
     request_quarantine& requests() { return m_requests; }
 
+    // Adds the crash records that an agent reports.
     void hear(const endpoint& sender, const wire::crash_report&);
+    // Receives the digest of an agent's crash records, and exchanges records with the agent if it differs.
     void hearDigest(const endpoint& sender, std::uint64_t digest);
-    // To be called about once a second.
+    // Drops expired records; to be called about once a second.
     void expire();
 
 private:
-    // Tells some agents, by way of whom all others hear, and has the store keep what is serious.
+    // Sends new records to some agents, which distribute them to the others, and stores those of repeated crashes.
     void publish(const std::vector<crash_record>&);
-    // Announced that it leaves, or is not registered any more.
+    // Returns whether the server has announced that it leaves, or is no longer registered.
     bool isLeaving(const backend_server&) const;
 
     const deployment_watch& m_watch;
     agent_directory& m_agents;
-    const std::function<bool(const backend_server&)> m_saidItLeaves;
+    const std::function<bool(const backend_server&)> m_hasAnnouncedLeaving;
     crash_archive* const m_archive;
     std::minstd_rand m_random { std::random_device {}() };
     peer_crash_verifier m_witness;
