--- a/coltsfootbend/gateway/table_follower.cpp
+++ b/coltsfootbend/gateway/table_follower.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Interval at which the fibers look whether gateways still follow the store, and whether a poll is pending again.
+// Interval at which the fibers check whether gateways still follow the store, and whether a poll is pending again.
 constexpr std::chrono::milliseconds stateCheckInterval { 100 };
 // Longest sleep of the checking fiber: a check that has become due earlier is noticed within this time.
 constexpr std::chrono::milliseconds maxCheckSleep { 1000 };
