--- a/coltsfootbend/gateway/backend_connection.h
+++ b/coltsfootbend/gateway/backend_connection.h
@@ -115,7 +115,7 @@
         backend_connection_ptr connection;
         // Incarnation of the server to which the connection was opened. A restarted server does not know the
         // connection.
-        backend_life incarnation;
+        backend_incarnation incarnation;
         time_point freshUntil {};
         time_point usableUntil {};
     };
--- a/coltsfootbend/gateway/backend_directory.h
+++ b/coltsfootbend/gateway/backend_directory.h
@@ -24,12 +24,12 @@
 using backend_id = text_id<struct backend_tag>;
 // Incarnation of a backend server: the Unix millisecond of its start; none if not reported. A later incarnation has the
 // higher number, and knows nothing of requests and orders that an earlier one received.
-using backend_life = number_id<struct backend_life_tag>;
+using backend_incarnation = number_id<struct backend_incarnation_tag>;
 
 // Identifies one incarnation of a server. State that is kept about a server belongs to one incarnation.
 struct backend_instance {
     backend_id id;
-    backend_life life;
+    backend_incarnation life;
     auto operator<=>(const backend_instance&) const = default;
 };
 
@@ -41,7 +41,7 @@
     data_centre_id dataCentre;
     std::uint32_t slots = 1;
     bool isLeaving = false;
-    backend_life life;
+    backend_incarnation life;
 
     backend_instance instance() const { return { id, life }; }
 };
--- a/coltsfootbend/gateway/backend_directory_test.cpp
+++ b/coltsfootbend/gateway/backend_directory_test.cpp
@@ -28,10 +28,10 @@
 TEST_F(backend_directory_test, ARegistrationOfAnEarlierIncarnationIsDropped)
 {
     auto restarted = server("a");
-    restarted.life = backend_life(2);
+    restarted.life = backend_incarnation(2);
     EXPECT_TRUE(m_directory.put(restarted));
     auto former = server("a");
-    former.life = backend_life(1);
+    former.life = backend_incarnation(1);
     former.isLeaving = true;
     EXPECT_FALSE(m_directory.put(former));
     EXPECT_FALSE(m_directory.find(backend_id("a"))->isLeaving);
--- a/coltsfootbend/gateway/backend_notices.cpp
+++ b/coltsfootbend/gateway/backend_notices.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-backend_notices::server_state* backend_notices::enterIncarnation(const backend_id& id, backend_life life)
+backend_notices::server_state* backend_notices::enterIncarnation(const backend_id& id, backend_incarnation life)
 {
     auto& state = m_servers[id];
     if (life == state.life || life.isNone())
@@ -89,7 +89,7 @@
 
 std::string backend_notices::hearOthers(const backend_id& id, const limit_statement& limit, time_point now)
 {
-    auto* state = enterIncarnation(id, backend_life(limit.serverIncarnation));
+    auto* state = enterIncarnation(id, backend_incarnation(limit.serverIncarnation));
     if (!state)
         return {};
     state->lastReceivedAt = now;
--- a/coltsfootbend/gateway/backend_notices.h
+++ b/coltsfootbend/gateway/backend_notices.h
@@ -83,7 +83,7 @@
 
 private:
     struct server_state {
-        backend_life life;
+        backend_incarnation life;
         limit_statement limit; // Of this incarnation, or of one that may be this one because it was not reported.
         time_point backoffUntil {};
         bool isLeaving = false; // Never withdrawn by the same incarnation.
@@ -97,7 +97,7 @@
 
     // Returns the state for an incarnation and drops that of an earlier one; null if a later incarnation is known.
     // State of an incarnation that was not reported is taken over by the first one that is.
-    server_state* enterIncarnation(const backend_id&, backend_life);
+    server_state* enterIncarnation(const backend_id&, backend_incarnation);
     const server_state* find(const backend_instance&) const;
     static std::string applyLimit(server_state&, const limit_statement&);
     static std::string applyBackoff(server_state&, duration length, time_point now);
--- a/coltsfootbend/gateway/backend_notices_test.cpp
+++ b/coltsfootbend/gateway/backend_notices_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-const backend_instance server { backend_id("b"), backend_life(7) };
+const backend_instance server { backend_id("b"), backend_incarnation(7) };
 const time_point start { 100s };
 
 TEST(BackendNotices, AnAnswerWithoutALimitEndsItOnlyIfItsRequestWasSentAfterTheLimitWasReceived)
@@ -29,7 +29,7 @@
 {
     backend_notices notices;
     (void)notices.hearAnswer(server, { .requestsPerSecond = 1 }, start, start);
-    const backend_instance next { server.id, backend_life(8) };
+    const backend_instance next { server.id, backend_incarnation(8) };
     EXPECT_EQ(notices.hearAnswer(next, { .requestsPerSecond = 2 }, start, start), "limit_per_s=2.00 before=none");
     EXPECT_EQ(notices.hearAnswer(server, { .requestsPerSecond = 3 }, start, start), "") << "an earlier incarnation";
 }
@@ -49,7 +49,7 @@
     EXPECT_EQ(notices.hearAnswer(server, {}, start + 1s, start + 2s), "");
     EXPECT_FALSE(notices.mayTake(server, start + 1h));
     EXPECT_FALSE(notices.take(server, start + 1h));
-    EXPECT_TRUE(notices.mayTake({ server.id, backend_life(8) }, start + 1h))
+    EXPECT_TRUE(notices.mayTake({ server.id, backend_incarnation(8) }, start + 1h))
         << "another incarnation has announced nothing";
 }
 
--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -71,7 +71,7 @@
     }
 }
 
-bool backend_picker::enterIncarnation(backend_state& state, backend_life received)
+bool backend_picker::enterIncarnation(backend_state& state, backend_incarnation received)
 {
     if (received < state.server.life)
         return received.isNone();
--- a/coltsfootbend/gateway/backend_picker.h
+++ b/coltsfootbend/gateway/backend_picker.h
@@ -148,7 +148,7 @@
     backend_state* find(const backend_instance&);
     // Switches to the incarnation `received` and discards the state of an earlier one. Returns false if `received`
     // itself is an earlier one.
-    static bool enterIncarnation(backend_state&, backend_life received);
+    static bool enterIncarnation(backend_state&, backend_incarnation received);
     // Returns null for a server that belongs to no group, or whose group is not known yet.
     const group_monitor* groupOf(const backend_state&) const;
     bool isGroupOpen(const backend_state&, time_point now) const;
--- a/coltsfootbend/gateway/backend_picker_test.cpp
+++ b/coltsfootbend/gateway/backend_picker_test.cpp
@@ -380,7 +380,7 @@
         EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s)->server.id, idOf(2));
     m_picker.onRequestFinished({ idOf(2), {} }, backend_outcome::Replaced, {}, m_now);
     EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s).error().reason, refusal_reason::NoServers);
-    m_servers[idOf(1)].life = backend_life(7);
+    m_servers[idOf(1)].life = backend_incarnation(7);
     m_picker.setServers(m_servers, *m_catalogue);
     EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s)->server.id, idOf(1));
 }
@@ -395,11 +395,11 @@
 
     void restartAs(std::uint64_t number)
     {
-        m_servers[idOf(1)].life = backend_life(number);
+        m_servers[idOf(1)].life = backend_incarnation(number);
         m_picker.setServers(m_servers, *m_catalogue);
     }
 
-    backend_instance instance(std::uint64_t number) const { return { idOf(1), backend_life(number) }; }
+    backend_instance instance(std::uint64_t number) const { return { idOf(1), backend_incarnation(number) }; }
 };
 
 TEST_F(restarted_backend_test, StateOfTheEarlierIncarnationIsDiscarded)
@@ -425,7 +425,7 @@
     m_picker.onRequestSent(instance(2), m_now);
     m_picker.onRequestFinished(instance(1), backend_outcome::Answered, 10ms, m_now);
     m_picker.receiveResponseLoad(instance(1), 6, 6, m_now);
-    m_picker.receiveReport(addressOf(1), { .incarnation = backend_life(1), .running = 7 }, m_now);
+    m_picker.receiveReport(addressOf(1), { .incarnation = backend_incarnation(1), .running = 7 }, m_now);
     EXPECT_EQ(m_picker.pick(request(plain), m_now)->load, 1);
 }
 
@@ -441,12 +441,12 @@
 TEST_F(restarted_backend_test, ReportOfARestartPrecedesTheStore)
 {
     m_picker.onRequestSent(instance(1), m_now);
-    m_picker.receiveReport(addressOf(1), { .incarnation = backend_life(2), .running = 0 }, m_now);
+    m_picker.receiveReport(addressOf(1), { .incarnation = backend_incarnation(2), .running = 0 }, m_now);
     restartAs(1);
     const auto picked = m_picker.pick(request(plain), m_now);
     ASSERT_TRUE(picked);
     EXPECT_EQ(picked->load, 0);
-    EXPECT_EQ(picked->server.life, backend_life(2));
+    EXPECT_EQ(picked->server.life, backend_incarnation(2));
 }
 
 } // namespace
--- a/coltsfootbend/gateway/engine_report.h
+++ b/coltsfootbend/gateway/engine_report.h
@@ -14,7 +14,7 @@
 
 // One report of an engine's load and of the state of its group.
 struct engine_report {
-    backend_life incarnation; // None when the engine does not report it.
+    backend_incarnation incarnation; // None when the engine does not report it.
     std::uint32_t running = 0; // Number of requests that run.
     std::uint32_t waiting = 0; // Number of requests that wait for a slot.
     double pace = 1; // Slowdown of the engine: 1 at normal speed, higher when it is slow.
--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -245,7 +245,7 @@
     if (!engine)
         return;
     m_context->picker.receiveReport(*engine,
-        { .incarnation = backend_life(update.engineIncarnation),
+        { .incarnation = backend_incarnation(update.engineIncarnation),
             .running = update.running,
             .waiting = update.waiting,
             .pace = update.pace,
--- a/coltsfootbend/gateway/group_monitor.h
+++ b/coltsfootbend/gateway/group_monitor.h
@@ -115,7 +115,7 @@
     options m_options;
     std::map<endpoint, rank_state> m_ranks;
     std::uint32_t m_size = 0; // Number of ranks that the reports state.
-    backend_life m_newestIncarnation; // Newest one of any rank.
+    backend_incarnation m_newestIncarnation; // Newest one of any rank.
     std::uint64_t m_epoch = 0;
     std::uint64_t m_step = 0; // Last pass that was begun.
     time_point m_stepAt {};
--- a/coltsfootbend/gateway/group_monitor_test.cpp
+++ b/coltsfootbend/gateway/group_monitor_test.cpp
@@ -153,7 +153,7 @@
     m_epoch = 7;
     play(1s);
     m_monitor.receiveReport({ "10.0.0.1", 80 },
-        { .incarnation = backend_life(2), .group = "g", .epoch = 1, .step = 1, .ranks = ranks, .isOpen = false },
+        { .incarnation = backend_incarnation(2), .group = "g", .epoch = 1, .step = 1, .ranks = ranks, .isOpen = false },
         m_now);
     EXPECT_EQ(m_monitor.condition(m_now), group_condition::Broken);
 }
--- a/coltsfootbend/gateway/limit_trial_test.cpp
+++ b/coltsfootbend/gateway/limit_trial_test.cpp
@@ -16,7 +16,7 @@
 
 using namespace std::chrono_literals;
 
-const backend_instance server { backend_id("b"), backend_life(7) };
+const backend_instance server { backend_id("b"), backend_incarnation(7) };
 const permit_subject subject("b");
 const time_point start { 100s };
 
