--- a/coltsfootbend/gateway/deployment_test_support.h
+++ b/coltsfootbend/gateway/deployment_test_support.h
@@ -184,7 +184,7 @@
     fiber_runtime& runtime, test_process& gateway, const endpoint& address, test_process& agent, time_point until)
 {
     while (clock_type::now() < until) {
-        agent.watch->hearGateway(address, gateway.watch->knowledge());
+        agent.watch->receiveGatewayReport(address, gateway.watch->knowledge());
         runtime.sleepFor(std::chrono::milliseconds(100));
     }
 }
@@ -211,9 +211,9 @@
         const auto duties = agent.duties();
         for (std::size_t i = pausedCount; i < gateways.size(); ++i) {
             auto& watch = *gateways[i]->watch;
-            watch.hearConfirmations(agent.configuration(now), agent.servers(now), duties.at(addresses[i]));
+            watch.receiveConfirmations(agent.configuration(now), agent.servers(now), duties.at(addresses[i]));
             if (const auto* informed = agent.findNewerSource(agent.all().at(addresses[i])))
-                watch.hearOfNews(*informed);
+                watch.receiveUpdateHint(*informed);
         }
         runtime.sleepFor(std::chrono::milliseconds(100));
     }
--- a/coltsfootbend/gateway/deployment_watch.cpp
+++ b/coltsfootbend/gateway/deployment_watch.cpp
@@ -248,7 +248,7 @@
 {
     return { .configuration = confirmation(watched_table::Configuration),
         .servers = confirmation(watched_table::BackendServers),
-        .isServed = knowsServers() && storeAnswers() && !m_options.followsGateways && !isOnStandby(),
+        .isServed = hasServerList() && isStoreAvailable() && !m_options.followsGateways && !isOnStandby(),
         .dataCentre = m_options.home.text() };
 }
 
@@ -260,7 +260,7 @@
     return reported;
 }
 
-void deployment_watch::hearConfirmations(
+void deployment_watch::receiveConfirmations(
     const wire::store_confirmation& configuration, const wire::store_confirmation& servers, wire::store_duty duty)
 {
     const auto now = clock_type::now();
@@ -273,9 +273,9 @@
     receive(watched_table::BackendServers, servers);
 }
 
-void deployment_watch::hearGateway(const endpoint& peer, const wire::deployment_knowledge& knowledge)
+void deployment_watch::receiveGatewayReport(const endpoint& peer, const wire::deployment_knowledge& knowledge)
 {
-    meetPeer(peer);
+    addPeer(peer);
     const auto now = clock_type::now();
     if (knowledge.isServed)
         m_lastFollowerReportAt = now;
@@ -309,9 +309,9 @@
     return now > *m_configurationReadAt + m_options.configurationReadInterval;
 }
 
-void deployment_watch::hearOfNews(const endpoint& peer)
+void deployment_watch::receiveUpdateHint(const endpoint& peer)
 {
-    meetPeer(peer);
+    addPeer(peer);
     const auto now = clock_type::now();
     if (!m_updateHintReceivedAt)
         m_updateHintReceivedAt = now;
--- a/coltsfootbend/gateway/deployment_watch.h
+++ b/coltsfootbend/gateway/deployment_watch.h
@@ -84,10 +84,10 @@
     // Returns the configuration in force; null until one is known.
     const catalogue_ptr& catalogue() const { return m_catalogue; }
     // Returns whether the list of backend servers has been read.
-    bool knowsServers() const { return table(watched_table::BackendServers).position > 0; }
+    bool hasServerList() const { return table(watched_table::BackendServers).position > 0; }
     const backend_directory& directory() const { return m_directory; }
     // Returns whether the store answers about both tables.
-    bool storeAnswers() const { return !lostSince(); }
+    bool isStoreAvailable() const { return !lostSince(); }
 
     // Register callbacks that are called after each change; to be called before `start`.
     void onCatalogue(std::function<void(const catalogue_ptr&)> changed) { m_onCatalogue.push_back(std::move(changed)); }
@@ -97,16 +97,16 @@
     void onStoreChecked(std::function<void()> checked) { m_onStoreChecked.push_back(std::move(checked)); }
 
     // Adds a process that can be asked.
-    void meetPeer(const endpoint& peer) { m_peers.insert(peer); }
+    void addPeer(const endpoint& peer) { m_peers.insert(peer); }
     // Receives a gateway's report of what it knows. A process that follows gateways reads newer tables from it.
-    void hearGateway(const endpoint& peer, const wire::deployment_knowledge&);
+    void receiveGatewayReport(const endpoint& peer, const wire::deployment_knowledge&);
     // Receives a hint that the gateway `peer` knows newer state. The gateway is read at once if this process is on
     // standby or the store does not serve it, and otherwise if the store has not returned the update after
     // `stalledPollDelay`: a poll can stall without an error.
-    void hearOfNews(const endpoint& peer);
+    void receiveUpdateHint(const endpoint& peer);
     // Receives the latest confirmations of the other gateways, with ages in milliseconds, and this gateway's duty in
     // following the store. Confirmations older than a minute are ignored.
-    void hearConfirmations(
+    void receiveConfirmations(
         const wire::store_confirmation& configuration, const wire::store_confirmation& servers, wire::store_duty);
     // Returns what this process reports to others.
     wire::deployment_knowledge knowledge() const;
--- a/coltsfootbend/gateway/deployment_watch_test.cpp
+++ b/coltsfootbend/gateway/deployment_watch_test.cpp
@@ -85,7 +85,7 @@
         informed.store.version = 2;
         runtime.sleepFor(700ms);
         EXPECT_EQ(refused.version(), 1U);
-        refused.watch->hearOfNews(served);
+        refused.watch->receiveUpdateHint(served);
         runtime.sleepFor(200ms);
         EXPECT_EQ(refused.version(), 2U);
     });
@@ -104,7 +104,7 @@
         stalled.store.version = informed.store.version = 2;
         for (int i = 0; i < 15; ++i) {
             runtime.sleepFor(100ms);
-            stalled.watch->hearOfNews(informedAddress);
+            stalled.watch->receiveUpdateHint(informedAddress);
         }
         EXPECT_EQ(stalled.version(), 2U);
     });
@@ -212,9 +212,9 @@
         runtime.sleepFor(100ms);
         agent.store.isRefusing = true;
         runtime.sleepFor(500ms);
-        EXPECT_FALSE(agent.watch->storeAnswers());
+        EXPECT_FALSE(agent.watch->isStoreAvailable());
         sendKnowledgeToAgent(runtime, gateway, gatewayAddress, agent, clock_type::now() + 1500ms);
-        EXPECT_TRUE(agent.watch->storeAnswers());
+        EXPECT_TRUE(agent.watch->isStoreAvailable());
     });
 }
 
--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -136,7 +136,7 @@
         [this] { return m_leaving; }, &m_idleConnections);
 }
 
-bool gateway_service::isReady() const { return m_watch->catalogue() && m_watch->knowsServers() && !m_leaving; }
+bool gateway_service::isReady() const { return m_watch->catalogue() && m_watch->hasServerList() && !m_leaving; }
 
 void gateway_service::serveHealth(const http_request& request, http_responder& responder) const
 {
@@ -234,13 +234,13 @@
 void gateway_service::receiveLoad(const endpoint& sender, const wire::load_update& update)
 {
     const auto now = clock_type::now();
-    m_watch->meetPeer(sender);
+    m_watch->addPeer(sender);
     receiveStoreStatus(update);
     m_quarantine->hearDigest(sender, update.crashes);
     m_agents->heard(sender, now);
     m_permits->hear(update.limits);
     if (const auto informedGateway = parseEndpoint(update.newerDeploymentAt))
-        m_watch->hearOfNews(*informedGateway);
+        m_watch->receiveUpdateHint(*informedGateway);
     const auto engine = parseEndpoint(update.engine);
     if (!engine)
         return;
@@ -275,7 +275,7 @@
         if (now < m_dutyValidUntil[duty])
             current = duty;
     }
-    m_watch->hearConfirmations(update.configuration, update.servers, current);
+    m_watch->receiveConfirmations(update.configuration, update.servers, current);
 }
 
 void gateway_service::groupLoop()
--- a/coltsfootbend/group/rank_service.cpp
+++ b/coltsfootbend/group/rank_service.cpp
@@ -169,7 +169,7 @@
 {
     const auto now = clock_type::now();
     m_subscribers.subscribe(sender, subscription.knows, now + subscriptionLifetime, now);
-    m_watch->hearGateway(sender, subscription.knows);
+    m_watch->receiveGatewayReport(sender, subscription.knows);
 }
 
 void rank_service::loadUpdateLoop()
