--- a/coltsfootbend/gateway/backend_notices.cpp
+++ b/coltsfootbend/gateway/backend_notices.cpp
@@ -70,7 +70,7 @@
     return applyLimit(state, { .serverIncarnation = life, .perSecond = 0, .isNamed = false, .at = now });
 }
 
-std::string backend_notices::hearAnswer(
+std::string backend_notices::receiveAnswer(
     const backend_instance& server, const backend_notice& notice, time_point sentAt, time_point now)
 {
     if (!notice.isAny() && !m_servers.contains(server.id))
@@ -87,7 +87,7 @@
     return changes;
 }
 
-std::string backend_notices::hearOthers(const backend_id& id, const limit_statement& limit, time_point now)
+std::string backend_notices::receiveStatement(const backend_id& id, const limit_statement& limit, time_point now)
 {
     auto* state = enterIncarnation(id, backend_incarnation(limit.serverIncarnation));
     if (!state)
@@ -108,7 +108,7 @@
     return state && state->limit.isNamed;
 }
 
-std::optional<time_point> backend_notices::closedUntil(const backend_instance& server, time_point now) const
+std::optional<time_point> backend_notices::unavailableUntil(const backend_instance& server, time_point now) const
 {
     const auto* state = find(server);
     if (!state || (now >= state->backoffUntil && !state->isLeaving))
@@ -122,26 +122,26 @@
     return state && state->isLeaving;
 }
 
-bool backend_notices::mayTake(const backend_instance& server, time_point now) const
+bool backend_notices::canAcquire(const backend_instance& server, time_point now) const
 {
     const auto* state = find(server);
     if (!state)
         return true;
-    return !isClosed(server, now) && (!state->limit.isNamed || now < state->permitUntil);
+    return !isUnavailable(server, now) && (!state->limit.isNamed || now < state->permitUntil);
 }
 
-bool backend_notices::take(const backend_instance& server, time_point now)
+bool backend_notices::tryAcquire(const backend_instance& server, time_point now)
 {
-    if (!mayTake(server, now))
+    if (!canAcquire(server, now))
         return false;
     if (isLimited(server))
         m_servers.at(server.id).permitUntil = {};
     return true;
 }
 
-std::optional<std::uint64_t> backend_notices::wish(const backend_instance& server, time_point now)
+std::optional<std::uint64_t> backend_notices::beginPermitRequest(const backend_instance& server, time_point now)
 {
-    if (mayTake(server, now) || isClosed(server, now))
+    if (canAcquire(server, now) || isUnavailable(server, now))
         return std::nullopt;
     auto& state = m_servers.at(server.id);
     if (now < state.requestPendingUntil)
--- a/coltsfootbend/gateway/backend_notices.h
+++ b/coltsfootbend/gateway/backend_notices.h
@@ -6,10 +6,10 @@
 // permit was issued (`permits/permit_issuer.h`). Deterministic. Doesn't estimate a server's health: see
 // `gateway/backend_picker.h`.
 //
-//     const auto changes = notices.hearAnswer(server, facts.notice, sentAt, now);
-//     if (notices.mayTake(server, now)) ...
-//     if (const auto serial = notices.wish(server, now)) // ask for a permit
-//     if (notices.take(server, now)) // send the request
+//     const auto changes = notices.receiveAnswer(server, facts.notice, sentAt, now);
+//     if (notices.canAcquire(server, now)) ...
+//     if (const auto serial = notices.beginPermitRequest(server, now)) // ask for a permit
+//     if (notices.tryAcquire(server, now)) // send the request
 
 #include "coltsfootbend/gateway/backend_directory.h"
 #include "coltsfootbend/gateway/backend_notice.h"
@@ -45,9 +45,9 @@
 
     // Applies the notice in the answer to a request that was sent at `sentAt`. Returns the changes as text for the log;
     // empty if nothing has changed.
-    std::string hearAnswer(const backend_instance&, const backend_notice&, time_point sentAt, time_point now);
+    std::string receiveAnswer(const backend_instance&, const backend_notice&, time_point sentAt, time_point now);
     // Applies a limit that other gateways have received. Returns the changes, as above.
-    std::string hearOthers(const backend_id&, const limit_statement&, time_point now);
+    std::string receiveStatement(const backend_id&, const limit_statement&, time_point now);
 
     // Returns the latest statement about the server's limit; none if there has been no statement.
     std::optional<limit_statement> limitOf(const backend_instance&) const;
@@ -57,17 +57,20 @@
     bool isLeaving(const backend_instance&) const;
     // Returns until when the server accepts no requests from this gateway, which is forever if it leaves; none if it
     // accepts requests, possibly only with a permit.
-    std::optional<time_point> closedUntil(const backend_instance&, time_point now) const;
-    bool isClosed(const backend_instance& server, time_point now) const { return closedUntil(server, now).has_value(); }
+    std::optional<time_point> unavailableUntil(const backend_instance&, time_point now) const;
+    bool isUnavailable(const backend_instance& server, time_point now) const
+    {
+        return unavailableUntil(server, now).has_value();
+    }
 
     // Returns whether the server may get one more request now.
-    bool mayTake(const backend_instance&, time_point now) const;
+    bool canAcquire(const backend_instance&, time_point now) const;
     // Returns the same, and uses up the permit if the server has a limit.
-    bool take(const backend_instance&, time_point now);
+    bool tryAcquire(const backend_instance&, time_point now);
 
     // Begins a permit request for one request to a limited server. Returns the serial number with which to send it;
     // none if no permit is needed, a permit is held or a permit request is pending, or if the server is unavailable.
-    std::optional<std::uint64_t> wish(const backend_instance&, time_point now);
+    std::optional<std::uint64_t> beginPermitRequest(const backend_instance&, time_point now);
     // Records when the permit is expected and that `requesters` gateways wait for permits of the same server.
     void expectPermit(const backend_id&, std::uint64_t serial, time_point expectedAt, std::uint32_t requesters);
     // Records a granted permit. Without effect if the permit request has been repeated or has expired: permits may
--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -247,7 +247,7 @@
 bool backend_picker::isServing(const backend_state& state, const deployment_id& deployment, time_point now) const
 {
     return state.server.deployment == deployment && !state.server.isLeaving
-        && !m_notices.isClosed(state.server.instance(), now);
+        && !m_notices.isUnavailable(state.server.instance(), now);
 }
 
 std::vector<backend_picker::backend_state*> backend_picker::candidates(const pick_request& request, time_point now)
@@ -264,7 +264,7 @@
         if (now < state.ejectedUntil)
             continue;
         notEjected.push_back(&state);
-        canAnyTake = canAnyTake || m_notices.mayTake(state.server.instance(), now);
+        canAnyTake = canAnyTake || m_notices.canAcquire(state.server.instance(), now);
     }
     // An ejection may be wrong, so ejections are ignored if no other server can take the request: refusing every
     // request would be worse.
@@ -288,7 +288,7 @@
     auto openAt = time_point::max();
     const backend_state* first = nullptr;
     for (const auto& [id, state] : m_backends) {
-        const auto until = m_notices.closedUntil(state.server.instance(), now);
+        const auto until = m_notices.unavailableUntil(state.server.instance(), now);
         if (state.server.deployment != request.deployment || state.server.isLeaving || !until || *until >= openAt)
             continue;
         openAt = *until;
@@ -370,14 +370,14 @@
 {
     std::vector<const backend_state*> withoutPermit;
     for (const auto* state : servers) {
-        if (!m_notices.mayTake(state->server.instance(), now))
+        if (!m_notices.canAcquire(state->server.instance(), now))
             withoutPermit.push_back(state);
     }
     if (withoutPermit.empty())
         return;
     const auto& server
         = withoutPermit[std::uniform_int_distribution<std::size_t>(0, withoutPermit.size() - 1)(m_random)]->server;
-    const auto serial = m_notices.wish(server.instance(), now);
+    const auto serial = m_notices.beginPermitRequest(server.instance(), now);
     if (serial && m_sendPermitRequest)
         m_sendPermitRequest(server, *serial);
 }
@@ -387,7 +387,7 @@
 {
     requestPermit(servers, now);
     const auto withoutPermit = std::partition(servers.begin(), servers.end(),
-        [&](const auto* state) { return m_notices.mayTake(state->server.instance(), now); });
+        [&](const auto* state) { return m_notices.canAcquire(state->server.instance(), now); });
     const bool isAnyUnlimited = std::any_of(servers.begin(), withoutPermit,
         [&](const auto* state) { return !m_notices.isLimited(state->server.instance()); });
     const auto permits = static_cast<std::size_t>(std::distance(servers.begin(), withoutPermit));
--- a/coltsfootbend/gateway/exchange.cpp
+++ b/coltsfootbend/gateway/exchange.cpp
@@ -240,7 +240,7 @@
 {
     const auto& server = picked.server;
     leaveQueue();
-    if (!m_context.picker.notices().take(server.instance(), clock_type::now()))
+    if (!m_context.picker.notices().tryAcquire(server.instance(), clock_type::now()))
         return next_step::TryAgain;
     if (m_sentCount > 0 && !retryBudget().takeRetry(clock_type::now())) {
         finishWithoutServer();
@@ -262,7 +262,7 @@
     }
     const auto now = clock_type::now();
     // The server may have asked for a backoff or announced its leaving while the connection was opened.
-    if (m_context.picker.notices().isClosed(server.instance(), now)) {
+    if (m_context.picker.notices().isUnavailable(server.instance(), now)) {
         (*connection)->close();
         return next_step::TryAgain;
     }
@@ -324,7 +324,7 @@
     if (metadata.isMisdirected)
         return;
     const auto changes
-        = m_context.picker.notices().hearAnswer(server.instance(), metadata.notice, sentAt, clock_type::now());
+        = m_context.picker.notices().receiveAnswer(server.instance(), metadata.notice, sentAt, clock_type::now());
     if (changes.empty())
         return;
     logEvent(log_event::BackendNotice, "backend=" + server.id.text() + " " + changes + " source=answer");
--- a/coltsfootbend/gateway/limit_trial_test.cpp
+++ b/coltsfootbend/gateway/limit_trial_test.cpp
@@ -146,7 +146,7 @@
             for (std::size_t i = 0; i < m_gateways.size(); ++i) {
                 sendDatagram([this, i, restarts = m_gateways[i].restarts, statement = statement] {
                     deliver(i, restarts, [this, statement](gateway_state& gateway) {
-                        (void)gateway.notices->hearOthers(server.id, statement, m_now);
+                        (void)gateway.notices->receiveStatement(server.id, statement, m_now);
                     });
                 });
             }
@@ -156,9 +156,9 @@
     void request(std::size_t number)
     {
         auto& gateway = m_gateways[number];
-        if (const auto serial = gateway.notices->wish(server, m_now))
+        if (const auto serial = gateway.notices->beginPermitRequest(server, m_now))
             sendToIssuer(number, *serial, true);
-        if (!gateway.notices->take(server, m_now))
+        if (!gateway.notices->tryAcquire(server, m_now))
             return; // It goes to another server.
         schedule(drawDelay(),
             [this, number, restarts = gateway.restarts, sentAt = m_now] { arrive(number, restarts, sentAt); });
@@ -200,7 +200,7 @@
                     m_firstReceivedAt = m_now;
                 receiver.limitReceivedAt = receiver.limitReceivedAt.value_or(m_now);
                 const auto changes
-                    = receiver.notices->hearAnswer(server, { .requestsPerSecond = m_options.limit }, sentAt, m_now);
+                    = receiver.notices->receiveAnswer(server, { .requestsPerSecond = m_options.limit }, sentAt, m_now);
                 if (!changes.empty())
                     sendToIssuer(number, 0, false);
             });
--- a/coltsfootbend/gateway/permit_network.cpp
+++ b/coltsfootbend/gateway/permit_network.cpp
@@ -70,7 +70,7 @@
 
 void permit_network::receiveLimit(const wire::server_limit& limit, time_point now)
 {
-    const auto changes = m_notices.hearOthers(backend_id(limit.server), fromWire(limit, now), now);
+    const auto changes = m_notices.receiveStatement(backend_id(limit.server), fromWire(limit, now), now);
     if (!changes.empty())
         logEvent(log_event::BackendNotice, "backend=" + limit.server + " " + changes + " source=agent");
 }
--- a/coltsfootbend/gateway/restricted_servers_test.cpp
+++ b/coltsfootbend/gateway/restricted_servers_test.cpp
@@ -37,12 +37,12 @@
 
     void setLimit(int number, double perSecond)
     {
-        (void)m_picker.notices().hearAnswer(instanceOf(number), { .requestsPerSecond = perSecond }, m_now, m_now);
+        (void)m_picker.notices().receiveAnswer(instanceOf(number), { .requestsPerSecond = perSecond }, m_now, m_now);
     }
 
     void setBackoff(int number, duration length)
     {
-        (void)m_picker.notices().hearAnswer(instanceOf(number), { .rest = length }, m_now, m_now);
+        (void)m_picker.notices().receiveAnswer(instanceOf(number), { .rest = length }, m_now, m_now);
     }
 
     pick_request request(std::uint32_t priority = 5) const
@@ -63,8 +63,8 @@
         EXPECT_EQ(m_picker.pick(request(), m_now)->server.id, idOf(2));
     EXPECT_EQ(m_requestedServers, (std::set { idOf(1) })) << "one permit request is issued";
     m_picker.notices().grant(idOf(1), m_lastSerial, m_now);
-    EXPECT_TRUE(m_picker.notices().take(instanceOf(1), m_now));
-    EXPECT_FALSE(m_picker.notices().take(instanceOf(1), m_now)) << "a permit covers one request";
+    EXPECT_TRUE(m_picker.notices().tryAcquire(instanceOf(1), m_now));
+    EXPECT_FALSE(m_picker.notices().tryAcquire(instanceOf(1), m_now)) << "a permit covers one request";
 }
 
 TEST_F(restricted_servers_test, PicksSuspectedServerWhenAllOthersAreLimited)
@@ -81,11 +81,11 @@
     setLimit(1, 1);
     (void)m_picker.pick(request(), m_now);
     m_picker.notices().grant(idOf(1), m_lastSerial, m_now + 2s);
-    EXPECT_FALSE(m_picker.notices().mayTake(instanceOf(1), m_now + 2s)) << "the permit request has expired";
+    EXPECT_FALSE(m_picker.notices().canAcquire(instanceOf(1), m_now + 2s)) << "the permit request has expired";
     (void)m_picker.pick(request(), m_now + 3s);
     m_picker.notices().grant(idOf(1), m_lastSerial, m_now + 3s);
-    EXPECT_TRUE(m_picker.notices().mayTake(instanceOf(1), m_now + 3s));
-    EXPECT_FALSE(m_picker.notices().mayTake(instanceOf(1), m_now + 4s));
+    EXPECT_TRUE(m_picker.notices().canAcquire(instanceOf(1), m_now + 3s));
+    EXPECT_FALSE(m_picker.notices().canAcquire(instanceOf(1), m_now + 4s));
 }
 
 TEST_F(restricted_servers_test, MoreUrgentRequestsGetPermitsFirst)
@@ -150,7 +150,7 @@
     EXPECT_TRUE(m_requestedServers.empty());
     setBackoff(2, 1s);
     EXPECT_EQ(m_picker.pick(request(), m_now + 1100ms)->server.id, idOf(2)) << "the shorter backoff has ended";
-    EXPECT_FALSE(m_picker.notices().isClosed(instanceOf(1), m_now + 3s));
+    EXPECT_FALSE(m_picker.notices().isUnavailable(instanceOf(1), m_now + 3s));
 }
 
 TEST_F(restricted_servers_test, ReturnsAreSpreadAfterTheFirstBackoffEnds)
