--- a/coltsfootbend/gateway/backend_notice.h
+++ b/coltsfootbend/gateway/backend_notice.h
@@ -3,7 +3,7 @@
 // Requests that a backend server makes of the gateways in its answers. Doesn't hold what the server reports of its load
 // or of the request: see `response_metadata` in `gateway/header_codec.h`.
 //
-//     const backend_notice notice { .requestsPerSecond = 1.5, .rest = 3s };
+//     const backend_notice notice { .requestsPerSecond = 1.5, .backoff = 3s };
 
 #include "coltsfootbend/base/time.h"
 
@@ -16,7 +16,7 @@
     // Rate limit for all gateways together; none if the server names no limit.
     std::optional<double> requestsPerSecond;
     // Backoff that the server demands of the gateway whose request it has just refused.
-    std::optional<duration> rest;
+    std::optional<duration> backoff;
     // The answer is certainly the server's own and names no limit, which ends an earlier limit.
     bool endsLimit = false;
 
@@ -24,7 +24,7 @@
     bool isLeaving = false;
 
     // Returns whether the answer names a limit, a backoff or the server's leaving.
-    bool isAny() const { return requestsPerSecond || rest || isLeaving; }
+    bool isAny() const { return requestsPerSecond || backoff || isLeaving; }
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/gateway/backend_notices.cpp
+++ b/coltsfootbend/gateway/backend_notices.cpp
@@ -80,8 +80,8 @@
         return {};
     state->lastReceivedAt = now;
     auto changes = applyNoticeLimit(*state, notice, sentAt, now);
-    if (notice.rest)
-        changes += (changes.empty() ? "" : " ") + applyBackoff(*state, *notice.rest, now);
+    if (notice.backoff)
+        changes += (changes.empty() ? "" : " ") + applyBackoff(*state, *notice.backoff, now);
     if (notice.isLeaving && !std::exchange(state->isLeaving, true))
         changes += std::string(changes.empty() ? "" : " ") + "leaving=yes";
     return changes;
--- a/coltsfootbend/gateway/backend_notices_test.cpp
+++ b/coltsfootbend/gateway/backend_notices_test.cpp
@@ -37,9 +37,9 @@
 TEST(BackendNotices, AShorterBackoffDoesNotShortenALongerOne)
 {
     backend_notices notices;
-    EXPECT_EQ(notices.receiveAnswer(server, { .rest = 3s }, start, start), "rest_s=3.00");
-    EXPECT_EQ(notices.receiveAnswer(server, { .rest = 1s }, start, start + 1s), "");
-    EXPECT_EQ(notices.receiveAnswer(server, { .rest = 4s }, start, start + 1s), "rest_s=4.00");
+    EXPECT_EQ(notices.receiveAnswer(server, { .backoff = 3s }, start, start), "rest_s=3.00");
+    EXPECT_EQ(notices.receiveAnswer(server, { .backoff = 1s }, start, start + 1s), "");
+    EXPECT_EQ(notices.receiveAnswer(server, { .backoff = 4s }, start, start + 1s), "rest_s=4.00");
 }
 
 TEST(BackendNotices, AnIncarnationThatHasAnnouncedThatItLeavesNeverWithdrawsIt)
--- a/coltsfootbend/gateway/restricted_servers_test.cpp
+++ b/coltsfootbend/gateway/restricted_servers_test.cpp
@@ -42,7 +42,7 @@
 
     void setBackoff(int number, duration length)
     {
-        (void)m_picker.notices().receiveAnswer(instanceOf(number), { .rest = length }, m_now, m_now);
+        (void)m_picker.notices().receiveAnswer(instanceOf(number), { .backoff = length }, m_now, m_now);
     }
 
     pick_request request(std::uint32_t priority = 5) const
