--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -86,8 +86,8 @@
         = std::make_unique<permit_network>(m_runtime, m_settings.vm, m_context->picker.notices(), *m_agents, *m_socket);
     m_permits->setGateways(m_gatewayCount);
     m_context->picker.onPermitRequest(
-        [this](const backend_server& server, std::uint64_t serial) { m_permits->ask(server, serial); });
-    m_context->onNotice = [this](const backend_server& server) { m_permits->tell(server); };
+        [this](const backend_server& server, std::uint64_t serial) { m_permits->requestPermit(server, serial); });
+    m_context->onNotice = [this](const backend_server& server) { m_permits->sendLimit(server); };
     m_watch->onCatalogue([this](const catalogue_ptr& next) {
         m_hasUpdates = true;
         applyCatalogue(next);
@@ -225,7 +225,7 @@
         else if (const auto* crashes = content ? std::get_if<wire::crash_report>(content) : nullptr)
             m_quarantine->hear(datagram->sender, *crashes);
         else if (const auto* permit = content ? std::get_if<wire::permit_reply>(content) : nullptr)
-            m_permits->hear(*permit);
+            m_permits->receiveReply(*permit);
         else
             m_metrics->count("datagrams_unreadable_total");
     }
@@ -238,7 +238,7 @@
     receiveStoreStatus(update);
     m_quarantine->hearDigest(sender, update.crashes);
     m_agents->heard(sender, now);
-    m_permits->hear(update.limits);
+    m_permits->receiveLimits(update.limits);
     if (const auto informedGateway = parseEndpoint(update.newerDeploymentAt))
         m_watch->receiveUpdateHint(*informedGateway);
     const auto engine = parseEndpoint(update.engine);
--- a/coltsfootbend/gateway/permit_network.cpp
+++ b/coltsfootbend/gateway/permit_network.cpp
@@ -15,17 +15,17 @@
     , m_notices(notices)
     , m_agents(agents)
     , m_socket(socket)
-    , m_localIssuer(runtime, [this](const endpoint&, const wire::permit_reply& reply) { hear(reply); },
+    , m_localIssuer(runtime, [this](const endpoint&, const wire::permit_reply& reply) { receiveReply(reply); },
           { .minPerSecond = 0, .delaySeed = std::random_device {}() })
 {
 }
 
-void permit_network::ask(const backend_server& server, std::uint64_t serial)
+void permit_network::requestPermit(const backend_server& server, std::uint64_t serial)
 {
     send(server, { .limit = {}, .requestsPermit = true, .serial = serial });
 }
 
-void permit_network::tell(const backend_server& server)
+void permit_network::sendLimit(const backend_server& server)
 {
     send(server, { .limit = {}, .requestsPermit = false, .serial = 0 });
 }
@@ -49,7 +49,7 @@
             *issuer, wire::encode({ .sender = m_self, .senderIncarnation = {}, .version = {}, .content = request }));
 }
 
-void permit_network::hear(const wire::permit_reply& reply)
+void permit_network::receiveReply(const wire::permit_reply& reply)
 {
     const auto now = clock_type::now();
     const backend_id server(reply.limit.server);
@@ -61,7 +61,7 @@
         m_notices.grant(server, reply.serial, now);
 }
 
-void permit_network::hear(const std::vector<wire::server_limit>& limits)
+void permit_network::receiveLimits(const std::vector<wire::server_limit>& limits)
 {
     const auto now = clock_type::now();
     for (const auto& limit : limits)
--- a/coltsfootbend/gateway/permit_network.h
+++ b/coltsfootbend/gateway/permit_network.h
@@ -6,8 +6,8 @@
 // alike. In a deployment without agents the gateway issues permits for its share of the rate itself.
 //
 //     permit_network permits(runtime, settings.vm, notices, agents, directory, socket);
-//     permits.ask(server, serial);
-//     permits.hear(reply);
+//     permits.requestPermit(server, serial);
+//     permits.receiveReply(reply);
 
 #include "coltsfootbend/gateway/agent_directory.h"
 #include "coltsfootbend/gateway/backend_notices.h"
@@ -25,13 +25,13 @@
     void setGateways(std::uint32_t count) { m_gateways = count; }
 
     // Requests a permit; `serial` is the number of the permit request.
-    void ask(const backend_server&, std::uint64_t serial);
+    void requestPermit(const backend_server&, std::uint64_t serial);
     // Reports the server's latest limit at once.
-    void tell(const backend_server&);
+    void sendLimit(const backend_server&);
     // Applies an agent's reply to a permit request.
-    void hear(const wire::permit_reply&);
+    void receiveReply(const wire::permit_reply&);
     // Applies the limits that an agent reports for the servers for which it issues permits.
-    void hear(const std::vector<wire::server_limit>&);
+    void receiveLimits(const std::vector<wire::server_limit>&);
     void expire(time_point now) { m_localIssuer.expire(now); }
     void stop() { m_localIssuer.stop(); }
 
