--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -223,7 +223,7 @@
         if (const auto* load = content ? std::get_if<wire::load_update>(content) : nullptr)
             receiveLoad(datagram->sender, *load);
         else if (const auto* crashes = content ? std::get_if<wire::crash_report>(content) : nullptr)
-            m_quarantine->hear(datagram->sender, *crashes);
+            m_quarantine->receiveReport(datagram->sender, *crashes);
         else if (const auto* permit = content ? std::get_if<wire::permit_reply>(content) : nullptr)
             m_permits->receiveReply(*permit);
         else
@@ -236,7 +236,7 @@
     const auto now = clock_type::now();
     m_watch->addPeer(sender);
     receiveStoreStatus(update);
-    m_quarantine->hearDigest(sender, update.crashes);
+    m_quarantine->receiveDigest(sender, update.crashes);
     m_agents->heard(sender, now);
     m_permits->receiveLimits(update.limits);
     if (const auto informedGateway = parseEndpoint(update.newerDeploymentAt))
--- a/coltsfootbend/gateway/quarantine_network.cpp
+++ b/coltsfootbend/gateway/quarantine_network.cpp
@@ -38,13 +38,13 @@
     });
 }
 
-void quarantine_network::hear(const endpoint& sender, const wire::crash_report& report)
+void quarantine_network::receiveReport(const endpoint& sender, const wire::crash_report& report)
 {
     m_gossip.receive(sender, report, clock_type::now());
     m_requests.logChangedVerdicts();
 }
 
-void quarantine_network::hearDigest(const endpoint& sender, std::uint64_t digest)
+void quarantine_network::receiveDigest(const endpoint& sender, std::uint64_t digest)
 {
     m_gossip.receiveDigest(sender, digest, clock_type::now());
 }
--- a/coltsfootbend/gateway/quarantine_network.h
+++ b/coltsfootbend/gateway/quarantine_network.h
@@ -5,7 +5,7 @@
 // see `quarantine/crash_history.h`.
 //
 //     quarantine_network network(runtime, settings, watch, agents, peers, hasAnnouncedLeaving, archive, socket);
-//     network.hearDigest(sender, news.crashes);
+//     network.receiveDigest(sender, news.crashes);
 //     exchange(..., network.requests(), ...)
 
 #include "coltsfootbend/gateway/agent_directory.h"
@@ -33,9 +33,9 @@
     request_quarantine& requests() { return m_requests; }
 
     // Adds the crash records that an agent reports.
-    void hear(const endpoint& sender, const wire::crash_report&);
+    void receiveReport(const endpoint& sender, const wire::crash_report&);
     // Receives the digest of an agent's crash records, and exchanges records with the agent if it differs.
-    void hearDigest(const endpoint& sender, std::uint64_t digest);
+    void receiveDigest(const endpoint& sender, std::uint64_t digest);
     // Drops expired records; to be called about once a second.
     void expire();
 
