--- a/coltsfootbend/gateway/agent_directory.h
+++ b/coltsfootbend/gateway/agent_directory.h
@@ -35,7 +35,7 @@
     bool hasAny() const;
 
     // Records that a report has been received from the agent.
-    void heard(const endpoint& agent, time_point now) { m_reachableUntil[agent] = now + reportTimeout; }
+    void recordReport(const endpoint& agent, time_point now) { m_reachableUntil[agent] = now + reportTimeout; }
     // Returns the agent that issues permits for the server: the one on its VM, or else one of its data centre, or one
     // of all agents if the data centre has none. Returns none while none of these is reachable. O(servers).
     std::optional<endpoint> issuerFor(const backend_server&, time_point now) const;
--- a/coltsfootbend/gateway/backend_directory.cpp
+++ b/coltsfootbend/gateway/backend_directory.cpp
@@ -14,7 +14,7 @@
     return true;
 }
 
-void backend_directory::forget(const backend_id& id)
+void backend_directory::discard(const backend_id& id)
 {
     m_lapsed.erase(id);
     m_servers.erase(id);
--- a/coltsfootbend/gateway/backend_directory.h
+++ b/coltsfootbend/gateway/backend_directory.h
@@ -70,7 +70,7 @@
     // was accepted.
     bool put(const backend_server&);
     // Removes a server whose registration cannot be decoded, whether or not the store is available.
-    void forget(const backend_id& id);
+    void discard(const backend_id& id);
     // Removes a server whose registration was deleted, at once or after the grace period.
     void remove(const backend_id& id, time_point now);
     // Removes every server that is not in `present`, as above.
--- a/coltsfootbend/gateway/backend_directory_test.cpp
+++ b/coltsfootbend/gateway/backend_directory_test.cpp
@@ -41,7 +41,7 @@
 {
     m_directory.put(server("a"));
     m_directory.storeFailed(m_now);
-    m_directory.forget(backend_id("a"));
+    m_directory.discard(backend_id("a"));
     EXPECT_FALSE(m_directory.find(backend_id("a")));
 }
 
--- a/coltsfootbend/gateway/deployment_watch.cpp
+++ b/coltsfootbend/gateway/deployment_watch.cpp
@@ -149,7 +149,7 @@
         const auto server = m_decoder->backend(row);
         if (!server) {
             logEvent(log_event::DeploymentRowUnreadable, toString(server.error()));
-            m_directory.forget(backend_id(row.key));
+            m_directory.discard(backend_id(row.key));
             return;
         }
         const auto* found = m_directory.find(server->id);
--- a/coltsfootbend/gateway/gateway_service.cpp
+++ b/coltsfootbend/gateway/gateway_service.cpp
@@ -237,7 +237,7 @@
     m_watch->addPeer(sender);
     receiveStoreStatus(update);
     m_quarantine->receiveDigest(sender, update.crashes);
-    m_agents->heard(sender, now);
+    m_agents->recordReport(sender, now);
     m_permits->receiveLimits(update.limits);
     if (const auto informedGateway = parseEndpoint(update.newerDeploymentAt))
         m_watch->receiveUpdateHint(*informedGateway);
