--- a/coltsfootbend/gateway/backend_connection.cpp
+++ b/coltsfootbend/gateway/backend_connection.cpp
@@ -135,7 +135,7 @@
         if (mustBeFresh && now >= candidate.freshUntil)
             break;
         idle.pop_back();
-        if (candidate.incarnation == server.life && now < candidate.usableUntil
+        if (candidate.incarnation == server.incarnation && now < candidate.usableUntil
             && candidate.connection->isOpenAndIdle())
             return candidate.connection;
         candidate.connection->close();
@@ -158,7 +158,7 @@
         return;
     }
     idle.push_back({ .connection = std::move(connection),
-        .incarnation = server.life,
+        .incarnation = server.incarnation,
         .freshUntil = now + std::min(usableFor, m_options.freshFor),
         .usableUntil = now + usableFor });
 }
--- a/coltsfootbend/gateway/backend_directory.cpp
+++ b/coltsfootbend/gateway/backend_directory.cpp
@@ -7,7 +7,7 @@
 bool backend_directory::put(const backend_server& server)
 {
     const auto known = m_servers.find(server.id);
-    if (known != m_servers.end() && server.life < known->second.life)
+    if (known != m_servers.end() && server.incarnation < known->second.incarnation)
         return false;
     m_lapsed.erase(server.id);
     m_servers[server.id] = server;
--- a/coltsfootbend/gateway/backend_directory.h
+++ b/coltsfootbend/gateway/backend_directory.h
@@ -29,7 +29,7 @@
 // Identifies one incarnation of a server. State that is kept about a server belongs to one incarnation.
 struct backend_instance {
     backend_id id;
-    backend_incarnation life;
+    backend_incarnation incarnation;
     auto operator<=>(const backend_instance&) const = default;
 };
 
@@ -41,9 +41,9 @@
     data_centre_id dataCentre;
     std::uint32_t slots = 1;
     bool isLeaving = false;
-    backend_incarnation life;
+    backend_incarnation incarnation;
 
-    backend_instance instance() const { return { id, life }; }
+    backend_instance instance() const { return { id, incarnation }; }
 };
 
 // Holds the registered servers and decides when a lapsed registration removes its server.
--- a/coltsfootbend/gateway/backend_directory_test.cpp
+++ b/coltsfootbend/gateway/backend_directory_test.cpp
@@ -28,12 +28,12 @@
 TEST_F(backend_directory_test, ARegistrationOfAnEarlierIncarnationIsDropped)
 {
     auto restarted = server("a");
-    restarted.life = backend_incarnation(2);
+    restarted.incarnation = backend_incarnation(2);
     EXPECT_TRUE(m_directory.put(restarted));
-    auto former = server("a");
-    former.life = backend_incarnation(1);
-    former.isLeaving = true;
-    EXPECT_FALSE(m_directory.put(former));
+    auto earlier = server("a");
+    earlier.incarnation = backend_incarnation(1);
+    earlier.isLeaving = true;
+    EXPECT_FALSE(m_directory.put(earlier));
     EXPECT_FALSE(m_directory.find(backend_id("a"))->isLeaving);
 }
 
--- a/coltsfootbend/gateway/backend_notices.cpp
+++ b/coltsfootbend/gateway/backend_notices.cpp
@@ -12,16 +12,16 @@
 
 } // namespace
 
-backend_notices::server_state* backend_notices::enterIncarnation(const backend_id& id, backend_incarnation life)
+backend_notices::server_state* backend_notices::enterIncarnation(const backend_id& id, backend_incarnation incarnation)
 {
     auto& state = m_servers[id];
-    if (life == state.life || life.isNone())
+    if (incarnation == state.incarnation || incarnation.isNone())
         return &state;
-    if (life < state.life)
+    if (incarnation < state.incarnation)
         return nullptr;
-    if (!state.life.isNone())
+    if (!state.incarnation.isNone())
         state = {};
-    state.life = life;
+    state.incarnation = incarnation;
     return &state;
 }
 
@@ -30,8 +30,8 @@
     const auto found = m_servers.find(server.id);
     if (found == m_servers.end())
         return nullptr;
-    const auto life = found->second.life;
-    const bool isSame = life == server.life || life.isNone() || server.life.isNone();
+    const auto incarnation = found->second.incarnation;
+    const bool isSame = incarnation == server.incarnation || incarnation.isNone() || server.incarnation.isNone();
     return isSame ? &found->second : nullptr;
 }
 
@@ -60,14 +60,14 @@
 std::string backend_notices::applyNoticeLimit(
     server_state& state, const backend_notice& notice, time_point sentAt, time_point now) const
 {
-    const auto life = state.life.number();
+    const auto incarnation = state.incarnation.number();
     if (notice.requestsPerSecond)
         return applyLimit(
-            state, { .serverIncarnation = life, .perSecond = *notice.requestsPerSecond, .isNamed = true, .at = now });
+            state, { .serverIncarnation = incarnation, .perSecond = *notice.requestsPerSecond, .isNamed = true, .at = now });
     // Answers overtake each other: only the answer to a request sent after the limit was received can end the limit.
     if (!notice.endsLimit || !state.limit.isNamed || sentAt <= state.limit.at)
         return {};
-    return applyLimit(state, { .serverIncarnation = life, .perSecond = 0, .isNamed = false, .at = now });
+    return applyLimit(state, { .serverIncarnation = incarnation, .perSecond = 0, .isNamed = false, .at = now });
 }
 
 std::string backend_notices::receiveAnswer(
@@ -75,7 +75,7 @@
 {
     if (!notice.isAny() && !m_servers.contains(server.id))
         return {};
-    auto* state = enterIncarnation(server.id, server.life);
+    auto* state = enterIncarnation(server.id, server.incarnation);
     if (!state)
         return {};
     state->lastReceivedAt = now;
--- a/coltsfootbend/gateway/backend_notices.h
+++ b/coltsfootbend/gateway/backend_notices.h
@@ -86,7 +86,7 @@
 
 private:
     struct server_state {
-        backend_incarnation life;
+        backend_incarnation incarnation;
         limit_statement limit; // Of this incarnation, or of one that may be this one because it was not reported.
         time_point backoffUntil {};
         bool isLeaving = false; // Never withdrawn by the same incarnation.
--- a/coltsfootbend/gateway/backend_picker.cpp
+++ b/coltsfootbend/gateway/backend_picker.cpp
@@ -54,13 +54,13 @@
 {
     for (const auto& [id, server] : servers) {
         auto& state = m_backends[id];
-        const bool isCurrent = enterIncarnation(state, server.life);
-        const auto known = state.server.life;
+        const bool isCurrent = enterIncarnation(state, server.incarnation);
+        const auto known = state.server.incarnation;
         if (state.server.address != server.address)
             state.replacedUntil = {};
         state.server = server;
         if (!isCurrent)
-            state.server.life = known; // The engine reported its restart before the store did.
+            state.server.incarnation = known; // The engine reported its restart before the store did.
     }
     std::erase_if(m_backends, [&](const auto& entry) { return !servers.contains(entry.first); });
     for (const auto& deployment : catalogue.deployments())
@@ -73,12 +73,12 @@
 
 bool backend_picker::enterIncarnation(backend_state& state, backend_incarnation received)
 {
-    if (received < state.server.life)
+    if (received < state.server.incarnation)
         return received.isNone();
-    if (received == state.server.life)
+    if (received == state.server.incarnation)
         return true;
     auto server = state.server;
-    server.life = received;
+    server.incarnation = received;
     state = {};
     state.server = std::move(server);
     return true;
@@ -87,7 +87,8 @@
 backend_picker::backend_state* backend_picker::find(const backend_instance& instance)
 {
     const auto found = m_backends.find(instance.id);
-    return found == m_backends.end() || found->second.server.life != instance.life ? nullptr : &found->second;
+    return found == m_backends.end() || found->second.server.incarnation != instance.incarnation ? nullptr
+                                                                                                 : &found->second;
 }
 
 void backend_picker::receiveReport(const endpoint& address, const engine_report& report, time_point now)
--- a/coltsfootbend/gateway/backend_picker_test.cpp
+++ b/coltsfootbend/gateway/backend_picker_test.cpp
@@ -380,7 +380,7 @@
         EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s)->server.id, idOf(2));
     m_picker.onRequestFinished({ idOf(2), {} }, backend_outcome::Replaced, {}, m_now);
     EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s).error().reason, refusal_reason::NoServers);
-    m_servers[idOf(1)].life = backend_incarnation(7);
+    m_servers[idOf(1)].incarnation = backend_incarnation(7);
     m_picker.setServers(m_servers, *m_catalogue);
     EXPECT_EQ(m_picker.pick(request(plain), m_now + 2s)->server.id, idOf(1));
 }
@@ -395,7 +395,7 @@
 
     void restartAs(std::uint64_t number)
     {
-        m_servers[idOf(1)].life = backend_incarnation(number);
+        m_servers[idOf(1)].incarnation = backend_incarnation(number);
         m_picker.setServers(m_servers, *m_catalogue);
     }
 
@@ -446,7 +446,7 @@
     const auto picked = m_picker.pick(request(plain), m_now);
     ASSERT_TRUE(picked);
     EXPECT_EQ(picked->load, 0);
-    EXPECT_EQ(picked->server.life, backend_incarnation(2));
+    EXPECT_EQ(picked->server.incarnation, backend_incarnation(2));
 }
 
 } // namespace
--- a/coltsfootbend/gateway/deployment_watch.cpp
+++ b/coltsfootbend/gateway/deployment_watch.cpp
@@ -157,9 +157,9 @@
         if (!m_directory.put(*server))
             return;
         if (!known || known->isLeaving != server->isLeaving || known->address != server->address
-            || known->life != server->life) {
+            || known->incarnation != server->incarnation) {
             logEvent(log_event::BackendListed,
-                "backend=" + server->id.text() + " life=" + std::to_string(server->life.number())
+                "backend=" + server->id.text() + " life=" + std::to_string(server->incarnation.number())
                     + " deployment=" + server->deployment.text() + " address=" + toString(server->address)
                     + " leaving=" + (server->isLeaving ? "yes" : "no") + " revision=" + std::to_string(row.revision));
         }
