--- a/coltsfootbend/gateway/backend_directory.cpp
+++ b/coltsfootbend/gateway/backend_directory.cpp
@@ -61,7 +61,7 @@
 
 // A process that was cut off from the store sees the same as one whose store was unavailable to all. A server that left
 // during the cut must get no further requests.
-void backend_directory::removeUnexpectedLapses(time_point now)
+void backend_directory::removeIsolatedLapses(time_point now)
 {
     if (m_failingSince)
         return;
--- a/coltsfootbend/gateway/backend_directory.h
+++ b/coltsfootbend/gateway/backend_directory.h
@@ -5,7 +5,8 @@
 // during an outage and are renewed after it, so they are kept for a grace period after its end. Deterministic. Doesn't
 // track how well a server answers: see `gateway/backend_picker.h`.
 //
-//     directory.apply(page, decoded, now);
+//     directory.put(server);
+//     directory.removeIsolatedLapses(now);
 //     for (const auto& [id, server] : directory.servers()) ...
 
 #include "coltsfootbend/base/id.h"
@@ -76,18 +77,19 @@
     // Removes every server that is not in `present`, as above.
     void retainOnly(const std::vector<backend_id>& present, time_point now);
 
-    // Record that the store does not answer since `now`, or answers again.
+    // Record that the store stopped answering, or answers again, at `now`.
     void storeFailed(time_point now);
     void storeAnswered(time_point now);
 
     // Removes the lapsed servers of each deployment of which most servers are still registered: after an outage of the
     // store itself, most registrations have lapsed. To be called after all changes of a page are applied. O(servers).
-    void removeUnexpectedLapses(time_point now);
+    void removeIsolatedLapses(time_point now);
 
     // Removes servers whose registration was not renewed in time. Returns how many.
     std::size_t expire(time_point now);
 
     const std::map<backend_id, backend_server>& servers() const { return m_servers; }
+    // Returns the server, or null if it is unknown.
     const backend_server* find(const backend_id&) const;
 
 private:
--- a/coltsfootbend/gateway/backend_directory_test.cpp
+++ b/coltsfootbend/gateway/backend_directory_test.cpp
@@ -90,7 +90,7 @@
     m_now += 4s;
     m_directory.storeAnswered(m_now);
     m_directory.retainOnly({ backend_id("b"), backend_id("c") }, m_now);
-    m_directory.removeUnexpectedLapses(m_now);
+    m_directory.removeIsolatedLapses(m_now);
     EXPECT_FALSE(m_directory.find(backend_id("a")));
     EXPECT_TRUE(m_directory.find(backend_id("b")));
 }
@@ -103,10 +103,10 @@
     m_now += 4s;
     m_directory.storeAnswered(m_now);
     m_directory.retainOnly({ backend_id("c") }, m_now);
-    m_directory.removeUnexpectedLapses(m_now);
+    m_directory.removeIsolatedLapses(m_now);
     m_now += 1s;
     m_directory.put(server("b"));
-    m_directory.removeUnexpectedLapses(m_now);
+    m_directory.removeIsolatedLapses(m_now);
     EXPECT_TRUE(m_directory.find(backend_id("a")));
     m_now += 1300ms;
     EXPECT_EQ(m_directory.expire(m_now), 1U);
--- a/coltsfootbend/gateway/backend_notices.h
+++ b/coltsfootbend/gateway/backend_notices.h
@@ -8,7 +8,7 @@
 //
 //     const auto changes = notices.receiveAnswer(server, facts.notice, sentAt, now);
 //     if (notices.canAcquire(server, now)) ...
-//     if (const auto serial = notices.beginPermitRequest(server, now)) // ask for a permit
+//     if (const auto serial = notices.beginPermitRequest(server, now)) // send the permit request
 //     if (notices.tryAcquire(server, now)) // send the request
 
 #include "coltsfootbend/gateway/backend_directory.h"
@@ -51,6 +51,7 @@
 
     // Returns the latest statement about the server's limit; none if there has been no statement.
     std::optional<limit_statement> limitOf(const backend_instance&) const;
+    // Returns whether the server names a limit, so that requests to it need permits.
     bool isLimited(const backend_instance&) const;
 
     // Returns whether the server has announced that it leaves.
--- a/coltsfootbend/gateway/deployment_watch.cpp
+++ b/coltsfootbend/gateway/deployment_watch.cpp
@@ -182,7 +182,7 @@
 {
     m_updateHintReceivedAt.reset();
     if (name == watched_table::BackendServers) {
-        m_directory.removeUnexpectedLapses(clock_type::now());
+        m_directory.removeIsolatedLapses(clock_type::now());
         for (const auto& changed : m_onServers)
             changed();
         return;
--- a/coltsfootbend/gateway/deployment_watch.h
+++ b/coltsfootbend/gateway/deployment_watch.h
@@ -96,7 +96,7 @@
     // should be notified soon.
     void onStoreChecked(std::function<void()> checked) { m_onStoreChecked.push_back(std::move(checked)); }
 
-    // Adds a process that can be asked.
+    // Adds a peer from which this process may read.
     void addPeer(const endpoint& peer) { m_peers.insert(peer); }
     // Receives a gateway's report of what it knows. A process that follows gateways reads newer tables from it.
     void receiveGatewayReport(const endpoint& peer, const wire::deployment_knowledge&);
--- a/coltsfootbend/gateway/permit_network.h
+++ b/coltsfootbend/gateway/permit_network.h
@@ -32,10 +32,12 @@
     void receiveReply(const wire::permit_reply&);
     // Applies the limits that an agent reports for the servers for which it issues permits.
     void receiveLimits(const std::vector<wire::server_limit>&);
+    // Drops expired state of the local issuer.
     void expire(time_point now) { m_localIssuer.expire(now); }
     void stop() { m_localIssuer.stop(); }
 
 private:
+    // Sends a permit request with the server's latest limit to its issuer, or handles it here if there are no agents.
     void send(const backend_server&, wire::permit_request);
     void receiveLimit(const wire::server_limit&, time_point now);
 
