--- a/coltsfootbend/daemon/main.cpp
+++ b/coltsfootbend/daemon/main.cpp
@@ -134,7 +134,7 @@
             peers.push_back({ hint.ip, m_settings.peers.port });
         auto options = m_settings.rankAgent ? deployment_watch::options::forAgents() : deployment_watch::options {};
         options.peers = std::move(peers);
-        options.home = m_settings.dataCentre;
+        options.localDataCentre = m_settings.dataCentre;
         m_kernel.add(std::make_unique<deployment_watch>(m_runtime,
             std::make_unique<platform::store_client>(m_runtime, *m_settings.deploymentStore),
             std::make_unique<platform::table_decoder>(), std::move(options)));
--- a/coltsfootbend/gateway/deployment_watch.cpp
+++ b/coltsfootbend/gateway/deployment_watch.cpp
@@ -249,7 +249,7 @@
     return { .configuration = confirmation(watched_table::Configuration),
         .servers = confirmation(watched_table::BackendServers),
         .isServed = hasServerList() && isStoreAvailable() && !m_options.followsGateways && !isOnStandby(),
-        .dataCentre = m_options.home.text() };
+        .dataCentre = m_options.localDataCentre.text() };
 }
 
 wire::store_confirmation deployment_watch::confirmation(watched_table name) const
@@ -289,7 +289,7 @@
     }
     if (!m_behindSince)
         m_behindSince = now;
-    const bool isNear = knowledge.dataCentre == m_options.home.text();
+    const bool isNear = knowledge.dataCentre == m_options.localDataCentre.text();
     if (!isNear && now < *m_behindSince + m_options.otherDataCentreDelay)
         return;
     readPeer(peer, withConfiguration);
--- a/coltsfootbend/gateway/deployment_watch.h
+++ b/coltsfootbend/gateway/deployment_watch.h
@@ -57,7 +57,7 @@
         // change included. Later than that the poll is taken to be stalled.
         duration stalledPollDelay = std::chrono::milliseconds(500);
         // Data centre of this process.
-        data_centre_id home;
+        data_centre_id localDataCentre;
         // Peers known at the start; others are added at run time.
         std::vector<endpoint> peers;
 
