--- a/coltsfootbend/measure/cost_scenarios.cpp
+++ b/coltsfootbend/measure/cost_scenarios.cpp
@@ -1,5 +1,6 @@
-// What decisions and state cost: nanoseconds and bytes, at several sizes, so that the planned size can be worked out
-// from the slopes. Wall-clock figures are noisy; docs/CAPACITY.md uses the ratios and rounds up.
+// Measures the cost of decisions and state in nanoseconds and bytes at several sizes, so that the cost at the planned
+// size can be extrapolated from the slopes. Wall-clock figures are noisy; docs/CAPACITY.md uses the ratios and rounds
+// up.
 
 #include "coltsfootbend/base/hash.h"
 #include "coltsfootbend/config/config_state.h"
@@ -22,7 +23,7 @@
 
 const time_point start = time_point {} + 1h;
 
-// Nanoseconds each of `count` calls take, the best of three rounds.
+// Returns the nanoseconds per call over `count` calls, the minimum of three rounds.
 template <typename Work> double nanosecondsEach(std::size_t count, const Work& work)
 {
     double best = 0;
@@ -45,7 +46,7 @@
     return pages * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-// Bytes that each of `count` items adds to the process.
+// Returns the bytes by which each of `count` items enlarges the process.
 template <typename Fill> double bytesEach(std::size_t count, const Fill& fill)
 {
     const double before = residentBytes();
--- a/coltsfootbend/measure/fleet_scenarios.cpp
+++ b/coltsfootbend/measure/fleet_scenarios.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t workers = 12;
 constexpr std::size_t slots = 8;
-// Requests of 120 ms mean that the fleet can serve a second.
+// Number of requests of 120 ms mean service time that the fleet can serve per second.
 constexpr double capacity = workers * slots / 0.120;
 
 void measurePriority(figure_writer& out)
--- a/coltsfootbend/measure/fleet_trial.cpp
+++ b/coltsfootbend/measure/fleet_trial.cpp
@@ -30,7 +30,7 @@
     int retriesLeft = 0;
     std::size_t entry = 0;
     std::vector<vm_id> tried {};
-    // While it runs.
+    // State of a running request.
     duration left {};
     time_point startedAt {};
     std::uint64_t startNumber = 0;
@@ -41,7 +41,7 @@
     vm_id id;
     double slow = 1;
     std::unique_ptr<admission_queue> queue;
-    std::deque<attempt_id> plainQueue; // First come, first served.
+    std::deque<attempt_id> plainQueue; // Queue of `queue_policy::FirstComeFirstServed`.
     std::size_t running = 0;
     std::map<attempt_id, fleet_request> requests;
     std::list<std::uint64_t> cache;
@@ -187,7 +187,7 @@
             return least([&](const fleet_worker& worker) {
                 const double prefill = isCached(worker, request.prefix) ? 0 : toMilliseconds(request.prefill);
                 const bool hasSlot = worker.requests.size() < m_options.slots;
-                // With slots free, the emptiest: what is on its way does not show yet.
+                // Prefers the emptiest worker while slots are free, because requests on their way do not wait yet.
                 const double wait = hasSlot ? 0.001 * static_cast<double>(worker.requests.size())
                                             : truePendingMs(worker, m_options.customers[request.customer].priority);
                 return wait + (prefill + toMilliseconds(request.service)) * worker.slow;
@@ -355,7 +355,7 @@
             lowest = std::max(lowest, customer.priority);
         for (priority_class priority = 0; priority <= lowest; ++priority)
             report.pendingService.push_back(pendingUpTo(worker, priority));
-        // What is heard was read one interval ago.
+        // Routers receive each report one interval after it was made.
         m_time.after(m_options.reportInterval, [this, &worker, report] {
             worker.reportedTotal = report.pendingService.back();
             for (auto& router : m_routers)
--- a/coltsfootbend/measure/group_scenarios.cpp
+++ b/coltsfootbend/measure/group_scenarios.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-// Every fault alone and every two together.
+// Runs every fault alone and every pair of faults.
 group_trial_report runShipped(std::uint64_t steps)
 {
     group_trial_report total;
@@ -20,7 +20,7 @@
     return total;
 }
 
-// Only the faults that the plain way survives at all: a restarted rank would stop it for good.
+// Runs the baseline with only those faults that it survives: a restarted rank would stop it permanently.
 group_trial_report runPlain(std::uint64_t steps)
 {
     group_trial_report total;
--- a/coltsfootbend/measure/group_trial.cpp
+++ b/coltsfootbend/measure/group_trial.cpp
@@ -39,7 +39,7 @@
 
 struct trial_rank {
     std::unique_ptr<rank_agent> agent;
-    std::map<step_number, map_version> granted; // Given to the engine and not yet run.
+    std::map<step_number, map_version> granted; // Steps that the engine may run and has not run yet, with their maps.
     step_number nextGrant = 1;
     time_point stalledUntil {};
     std::optional<map_version> loading;
@@ -89,13 +89,13 @@
         return std::chrono::milliseconds(std::uniform_int_distribution<int>(least, most)(m_random));
     }
 
-    // --- ranks and their engines
+    // Ranks and their engines.
     void startLife(rank_number rank)
     {
         auto& state = m_ranks[rank];
         state.agent = std::make_unique<rank_agent>(
             rank_agent::options { .rank = rank, .ownIncarnation = incarnation(++m_lives), .lastEngineStep = m_step });
-        state.granted.clear(); // The engine was told to stop after the step that it is in.
+        state.granted.clear(); // The engine stops after its current step.
         state.nextGrant = m_step + 1;
         state.loading.reset();
     }
@@ -111,7 +111,7 @@
         }
     }
 
-    // Runs the next step when every rank has granted it: that is what lock-step means.
+    // Runs the next step once every rank has granted it, as lock-step requires.
     void pump()
     {
         for (rank_number rank = 0; rank < m_options.ranks; ++rank)
@@ -161,7 +161,7 @@
         });
     }
 
-    // --- messages; each may be lost, late, doubled and so overtake others
+    // Messages. Each may be lost, delayed or duplicated, and may so overtake others.
     void carry(const std::function<void()>& deliver)
     {
         if (has(group_fault::MessageLost) && chance(0.1))
@@ -193,7 +193,7 @@
         carry([this, rank, message = *message, groupLife = m_groupLife] {
             if (groupLife != m_groupLife)
                 return;
-            // Every coordinator hears it; those it is not for ignore it by its epoch.
+            // Every coordinator receives the message and ignores it if its epoch is another one's.
             for (const auto& coordinator : m_coordinators) {
                 if (m_time.now() < coordinator.pausedUntil)
                     continue;
@@ -203,7 +203,7 @@
         });
     }
 
-    // --- coordinators
+    // Coordinators.
     void startChange()
     {
         if (m_options.withoutPromises) {
@@ -232,11 +232,11 @@
         }
     }
 
-    // The plain way: everybody is told a step in the near future.
+    // Baseline: orders every rank to switch at a step in the near future.
     void switchBlindly()
     {
         const map_version map(++m_map);
-        const bool isFirst = m_step == 0; // Which reaches everybody, or nothing would begin.
+        const bool isFirst = m_step == 0; // Always delivered, because no step runs before the first map.
         const auto at = isFirst ? 1 : m_step + 64;
         for (rank_number rank = 0; rank < m_options.ranks; ++rank) {
             const auto take = [this, rank, map, at] {
@@ -263,7 +263,7 @@
     void scheduleChanges()
     {
         m_time.after(m_options.changeInterval, [this] {
-            // Those that are over are put away; some that are not stay and go on beside the new one.
+            // Removes the earlier coordinators, or lets up to three of them run beside the new one.
             const bool keepOld = has(group_fault::TwoCoordinators) || has(group_fault::CoordinatorPaused);
             if (!keepOld || m_coordinators.size() > 3) {
                 m_coordinators.clear();
@@ -290,7 +290,7 @@
                 stall(rank);
             if (has(group_fault::RankRestarts)) {
                 startLife(rank);
-                startChange(); // The others hear of the new life and ask for a decision that includes it.
+                startChange(); // The other ranks need a decision that includes the new incarnation.
             }
             if (has(group_fault::RankReplaced) && chance(0.3)) {
                 ++m_groupLife;
--- a/coltsfootbend/measure/group_trial.h
+++ b/coltsfootbend/measure/group_trial.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Runs a group of ranks in lock-step through many map changes in virtual time, with faults, over the shipped rank
-// agents and coordinators. Engines and the network are fakes. Counts steps in which two ranks ran different maps.
+// Simulates a group of ranks that run in lock-step through many map changes in virtual time, with injected faults. Uses
+// the shipped rank agents and coordinators; engines and the network are fakes. Counts the steps in which two ranks ran
+// different maps.
 //
 //     auto report = runGroupTrial({ .seed = 1, .steps = 100'000, .faults = { group_fault::MessageLost } });
 
@@ -12,13 +13,14 @@
 
 namespace coltsfootbend {
 
+// Faults that a trial injects.
 enum class group_fault {
     MessageLost,
     MessageLate,
     MessageDoubled,
     RankStalls,
-    RankRestarts, // Without engine memory: a fresh life.
-    RankReplaced, // A new incarnation of the group.
+    RankRestarts, // The rank starts a new incarnation without the engine's memory.
+    RankReplaced, // The whole group starts a new incarnation.
     TwoCoordinators,
     CoordinatorPaused,
     ChangeAbandoned,
@@ -26,26 +28,29 @@
 constexpr std::size_t groupFaults = 9;
 const char* toString(group_fault);
 
+// Length of a trial, size of the group and the faults to inject.
 struct group_trial_options {
     std::uint64_t seed = 1;
     std::uint64_t steps = 10'000;
     std::uint32_t ranks = 8;
     std::vector<group_fault> faults {};
     duration changeInterval = std::chrono::seconds(2);
-    // Baseline: the coordinator tells every rank to switch at a step a fixed lead ahead, without promises.
+    // Baseline: every rank is ordered to switch a fixed number of steps ahead, without promises of the ranks.
     bool withoutPromises = false;
 };
 
+// Results of one trial, or the sums over several.
 struct group_trial_report {
     std::uint64_t steps = 0;
-    std::uint64_t mixedMaps = 0;
-    std::uint64_t changes = 0; // Maps that a step ran under.
-    duration stalled {};
-    duration total {};
+    std::uint64_t mixedMaps = 0; // Steps in which two ranks ran different maps.
+    std::uint64_t changes = 0; // Steps that ran under another map than the step before.
+    duration stalled {}; // Part of `total` in which no step ran.
+    duration total {}; // From the start of the first step to the end of the last one.
 
     void add(const group_trial_report&);
 };
 
+// Runs one trial; the same options give the same report.
 group_trial_report runGroupTrial(const group_trial_options&);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/measure/group_trial_test.cpp
+++ b/coltsfootbend/measure/group_trial_test.cpp
@@ -6,7 +6,7 @@
 namespace coltsfootbend {
 namespace {
 
-// The brief's first promise: in every step all ranks use one and the same expert map.
+// Checks that in every step all ranks use the same expert map, under any two faults.
 RC_GTEST_PROP(LockStep, NoStepMixesMaps, ())
 {
     const auto fault = [] { return static_cast<group_fault>(*rc::gen::inRange<std::size_t>(0, groupFaults)); };
@@ -20,7 +20,7 @@
     RC_ASSERT(report.steps >= options.steps);
 }
 
-// The trial can fail: without promises a rank that missed the message runs on under the old map.
+// Checks that the trial detects mixed maps: without promises a rank that misses the message keeps the old map.
 TEST(LockStep, WithoutPromisesALostMessageMixesMaps)
 {
     const auto report
--- a/coltsfootbend/measure/load_main.cpp
+++ b/coltsfootbend/measure/load_main.cpp
@@ -1,6 +1,6 @@
-// Sends a load to running daemons over HTTP, as callers would: keyed requests, tried again through any entry VM. Checks
-// every answer against its request, asks the engine stand-ins how often each request ran, and prints figures as
-// `coltsfootbend_measure` does. With --direct it also times the same requests sent straight to an engine stand-in.
+// Sends a load to running daemons over HTTP: keyed requests, retried through any entry VM. Checks every answer against
+// its request, queries the engine stand-ins for how often each request ran, and prints figures in the format of
+// `coltsfootbend_measure`. With --direct it also measures the same requests sent directly to an engine stand-in.
 
 #include "coltsfootbend/base/hash.h"
 #include "coltsfootbend/measure/scenario.h"
@@ -184,7 +184,7 @@
     std::size_t m_running = 0;
 };
 
-// Returns whether every promise was kept.
+// Prints the figures. Returns whether no request ran twice, got another's answer or was falsely reported as not run.
 bool report(const load_options& options, load_run& load)
 {
     figure_writer out("processes." + options.label, std::cout);
--- a/coltsfootbend/measure/main.cpp
+++ b/coltsfootbend/measure/main.cpp
@@ -1,5 +1,4 @@
-// Prints the figures that the docs quote: scenarios in virtual time with fixed seeds, driving the shipped decision
-// code.
+// Prints the figures that the docs quote. Runs scenarios in virtual time with fixed seeds on the shipped decision code.
 
 #include "coltsfootbend/measure/scenario.h"
 
--- a/coltsfootbend/measure/membership_scenarios.cpp
+++ b/coltsfootbend/measure/membership_scenarios.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr int workers = 73; // What one entry VM hears of at the planned size.
+constexpr int workers = 73; // Number of workers that announce themselves to one entry VM at the planned size.
 constexpr auto announceInterval = 1s;
 constexpr auto length = 4h;
 constexpr double lossShare = 0.01;
-constexpr double stallShare = 0.002; // Of announcements, held back by 500 ms.
+constexpr double stallShare = 0.002; // Share of announcements that are delayed by 500 ms.
 
 class membership_trial {
 public:
@@ -50,7 +50,7 @@
         m_time.after(announceInterval, [this, worker] { announce(worker); });
     }
 
-    // A worker dies, and its replacement comes after 20 s.
+    // Terminates a random worker every 30 s; its replacement starts after 20 s.
     void killOne()
     {
         const auto worker = static_cast<int>(m_random() % workers);
@@ -74,7 +74,7 @@
                 m_detected[worker] = true;
                 detectMs.push_back(toMilliseconds(m_time.now() - m_diedAt[worker]));
             }
-            // Young ones have not been heard yet, and a replacement's first word is on its way.
+            // Announcements of new workers and of replacements may not have been received yet.
             const bool isSettled = m_time.now() > m_deadUntil[worker] + 5s && m_time.now() > m_start + 5s;
             falseDeaths += isSettled && !known ? 1 : 0;
             const bool wasSuspected = m_suspected[worker];
--- a/coltsfootbend/measure/model_group.cpp
+++ b/coltsfootbend/measure/model_group.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::chrono::milliseconds soonestLate { 20 };
 
-// Between 1 and 99, a third of that on average.
+// Returns a demand between 1 and 99, with a mean of about a third of that.
 std::uint64_t moderateDemand(std::uint64_t chance)
 {
     constexpr std::uint64_t range = 100;
--- a/coltsfootbend/measure/model_group.h
+++ b/coltsfootbend/measure/model_group.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// All engines of a group with expert maps, as its promises are written down in docs/design/PLATFORM-PROGRAMS.md: passes
-// that all ranks begin together, and orders that are refused, lost or carried out late. Whoever drives it begins the
-// passes; it counts those that began with two maps, which must never happen. For tests, trials and the soak.
+// Simulates all engines of a group with expert maps, as specified in docs/design/PLATFORM-PROGRAMS.md: all ranks begin
+// each pass together, and orders are refused, lost or executed late. The caller begins the passes. The group counts the
+// passes that began with two different maps, which must never happen. For tests, trials and the soak.
 //
 //     model_group group({ .ranks = 4, .sets = 2, .experts = 16, .lateShare = 0.3 });
 //     model_engine engine(runtime, group, 2);
@@ -19,6 +19,7 @@
 
 namespace coltsfootbend {
 
+// The simulated state of one group and all of its ranks.
 class model_group {
 public:
     struct options {
@@ -26,20 +27,20 @@
         rank_number ranks = 4;
         std::uint32_t sets = 2;
         std::uint32_t experts = 16;
-        // Of the orders: not answered, and carried out within `latest`.
+        // Share of the orders that are not answered and are executed late, after at most `latest`.
         double lateShare = 0;
         duration latest = std::chrono::milliseconds(400);
         unsigned seed = 1;
-        // Demand moves to other experts this often.
+        // Number of passes after which demand moves to other experts.
         pass_number passesPerDemand = 100;
-        // In each pass requests of all ranks choose experts, instead of those of one rank in turn; and busy experts are
-        // up to three times as busy as the mean, instead of seven times.
+        // If set, all ranks count demand in each pass, instead of one rank in turn, and the busiest experts have up to
+        // three times the mean demand, instead of seven times.
         bool everyRankCounts = false;
-        // What each engine reports to run.
+        // Number of running requests that each engine reports.
         std::uint32_t running = 0;
     };
 
-    // One rank's part in map changes.
+    // The state of one rank in map changes.
     struct member {
         engine_incarnation life { 1 };
         engine_map_version highest = 0;
@@ -53,29 +54,29 @@
 
     explicit model_group(const options&);
 
-    // Forms the group anew: a new epoch with the first map, nothing prepared, armed or held.
+    // Starts a new epoch with the first map and nothing prepared, armed or held.
     void form();
-    // A rank is gone: no pass begins until `form`.
+    // Simulates the loss of a rank: no pass begins until `form` is called.
     void breakUp() { m_isOpen = false; }
-    // The engine of `rank` starts anew under its old name: it knows nothing, and the group is broken.
+    // Restarts the engine of `rank` as a new incarnation without state, which breaks the group.
     void restart(rank_number rank);
     // Begins the next pass on all ranks, unless the group is broken or one rank holds it. Returns whether it began.
     bool beginPass();
-    // From now on this share of the orders comes late.
+    // Sets the share of later orders that are executed late.
     void setLateShare(double share) { m_lateShare = share; }
 
     using order_work = std::function<bool(member&, pass_number)>;
-    // Whether an order comes late, and by how much.
+    // Draws whether an order is late. Returns its delay, or nothing if it is on time.
     std::optional<duration> drawLateness();
-    // Carries `work` out on `rank`. Returns false where `work` does or another epoch has begun.
+    // Executes `work` on `rank`. Returns false if `work` does, or if `epoch` is not the current one.
     bool carryOut(rank_number rank, group_epoch epoch, const order_work& work)
     {
         return m_epoch == epoch && work(m_members[rank], m_step);
     }
 
-    // Other experts are in demand from now on.
+    // Moves demand to other experts.
     void shiftDemand() { ++m_shifts; }
-    // How often each expert is chosen in a pass of this moment, by set and expert.
+    // Returns how often each expert is chosen in the current pass, by set and expert.
     std::vector<std::uint64_t> demandOfPass() const;
 
     std::uint32_t running() const { return m_options.running; }
@@ -88,7 +89,7 @@
     bool chance(double share) { return std::uniform_real_distribution<double>(0, 1)(m_random) < share; }
 
     int mixedPasses() const { return m_mixedPasses; }
-    int switches() const { return m_switches; } // Summed over the ranks.
+    int switches() const { return m_switches; } // Sum over the ranks.
     time_point lastPassAt() const { return m_lastPassAt; }
 
 private:
@@ -107,8 +108,8 @@
     time_point m_lastPassAt {};
 };
 
-// One engine as its agent sees it: a rank of a group, and perhaps of another one once that is formed anew. An order
-// knows an epoch and no group, so one that comes late is carried out wherever the engine is by then.
+// The engine of one rank, as its agent calls it. It can move to another group. An order names an epoch but no group, so
+// a late order is executed in the group that the engine belongs to by then.
 class model_engine final : public rank_engine {
 public:
     model_engine(fiber_runtime& runtime, model_group& group, rank_number rank)
@@ -117,7 +118,7 @@
     {
     }
 
-    // To be called before both groups are formed anew.
+    // Moves the engine to another group. Must be called before `form` of both groups.
     void moveTo(model_group& group, rank_number rank) { *m_place = { &group, rank }; }
     rank_number rank() const { return m_place->rank; }
     const model_group& group() const { return *m_place->group; }
@@ -137,12 +138,12 @@
         rank_number rank = 0;
     };
 
-    // Carries `work` out now or late. Fails with `Stale` where it cannot be, with `TimedOut` at `deadline` where it
-    // comes late.
+    // Executes `work` now or late. Fails with `Stale` if the state does not allow it, and with `TimedOut` at `deadline`
+    // if it is late.
     result<void> order(group_epoch, const model_group::order_work&, time_point deadline);
 
     fiber_runtime& m_runtime;
-    std::shared_ptr<place> m_place; // Outlives the engine in orders that come late.
+    std::shared_ptr<place> m_place; // Shared with late orders, which may outlive the engine.
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/measure/rebalance_scenarios.cpp
+++ b/coltsfootbend/measure/rebalance_scenarios.cpp
@@ -1,4 +1,4 @@
-// Skew and rebalancing cost over two days of drifting popularity, for each user's weights, beside plain ways.
+// Measures skew and rebalancing cost over two days of drifting popularity, for each user's weights and for baselines.
 
 #include "coltsfootbend/group/rebalancer.h"
 #include "coltsfootbend/measure/scenario.h"
@@ -19,10 +19,11 @@
 constexpr std::uint32_t slots = 6;
 constexpr int minutesADay = 24 * 60;
 constexpr int minutes = 2 * minutesADay;
-constexpr int reportLag = 3; // Minutes until a load is known.
+constexpr int reportLag = 3; // Minutes until a load report is received.
 constexpr int eventStart = minutesADay + 9 * 60;
 
-// Popularity of each expert, minute by minute: a daily shape, a slow drift, and a sudden shift when an event starts.
+// Simulates the popularity of each expert minute by minute: a daily cycle, a slow drift, and a sudden shift when an
+// event starts.
 class popularity_trace {
 public:
     explicit popularity_trace(std::uint64_t seed)
@@ -63,7 +64,7 @@
     std::vector<double> m_shift;
 };
 
-// Gives each group of experts to the rank that holds most of them already, so that equal groups do not travel.
+// Assigns each group of experts to the rank that already holds most of them, so that unchanged groups do not move.
 std::vector<std::vector<expert_number>> matchedTo(
     const placement& current, const std::vector<std::vector<expert_number>>& groups)
 {
@@ -84,7 +85,8 @@
     return matched;
 }
 
-// A greedy optimum made from nothing: most replicas for the most popular, the largest pieces first.
+// Returns a greedy placement made from scratch: gives the most popular experts the most replicas, and places the
+// largest pieces first.
 placement greedyOptimum(const expert_load& load, const placement& current)
 {
     std::vector<std::uint32_t> counts(experts, 1);
@@ -115,7 +117,7 @@
     }
     held = matchedTo(current, held);
     auto made = placement::initial(ranks, experts, slots);
-    // Two rounds, so that no expert is without a place in between.
+    // Replaces in two rounds, so that every expert keeps a slot meanwhile.
     for (int round = 0; round < 2; ++round) {
         for (rank_number rank = 0; rank < ranks; ++rank) {
             for (std::uint32_t slot = 0; slot < slots; ++slot)
@@ -127,16 +129,16 @@
 
 struct policy {
     rebalancer::options weights;
-    // Of each day, in minutes.
+    // Protected hours, in minutes from the start of each day.
     int protectedFrom = 0;
     int protectedTo = 0;
 };
 
 struct outcome_figures {
-    double skew = 0; // Mean over the minutes.
+    double skew = 0; // Mean over all minutes.
     double moves = 0;
     double movesInProtectedHours = 0;
-    double planMs = 0; // Longest.
+    double planMs = 0; // Maximum, in milliseconds.
 };
 
 enum class way { Planned, Never, Greedy, PerfectForecast };
@@ -163,7 +165,7 @@
     for (int minute = 0; minute < minutes; ++minute) {
         seen.push_back(trace.at(minute));
         const auto& known = seen[static_cast<std::size_t>(std::max(0, minute - reportLag))];
-        // Every fifth report is missing.
+        // Simulates the loss of every fifth report.
         if (minute % 5 != 0)
             shipped.observe(known);
         auto next = current;
@@ -181,7 +183,7 @@
             figures.planMs = std::max(figures.planMs, took.count());
         }
         const auto moves = static_cast<double>(current.countMovesTo(next));
-        // The first placement is nobody's rebalancing.
+        // The initial placement does not count as a rebalance.
         if (minute > 0) {
             figures.moves += moves;
             figures.movesInProtectedHours += shipped.isProtected(timeOf(minute)) ? moves : 0;
--- a/coltsfootbend/measure/request_scenarios.cpp
+++ b/coltsfootbend/measure/request_scenarios.cpp
@@ -15,7 +15,7 @@
     return kinds;
 }
 
-// Every fault alone and every two together.
+// Runs every fault alone and every pair of faults.
 std::vector<std::vector<fault_kind>> singlesAndPairs()
 {
     std::vector<std::vector<fault_kind>> sets;
--- a/coltsfootbend/measure/request_trial.cpp
+++ b/coltsfootbend/measure/request_trial.cpp
@@ -48,14 +48,14 @@
 constexpr auto requestSpacing = 4ms;
 constexpr auto faultSpacing = 1500ms;
 
-// One caller's request and all that is known of it from outside.
+// One caller's request, with its progress as the caller and the engines observe it.
 struct trial_request {
     std::size_t index = 0;
     bool keyed = false;
     bool counted = false;
     bool usesTicket = false;
     int attempts = 0;
-    int current = 0; // The attempt that the caller listens to.
+    int current = 0; // The attempt whose answer the caller awaits.
     int runs = 0;
     bool settled = false;
     bool toldNotRun = false;
@@ -102,7 +102,7 @@
     struct exchange;
     using exchange_ptr = std::shared_ptr<exchange>;
 
-    // --- entry VM: drives one request_flow
+    // Entry VM: drives one request_flow.
     struct exchange : public worker_chooser {
         exchange(request_trial& owner, trial_request& forRequest, std::shared_ptr<trial_entry> at, int callerAttempt)
             : trial(owner)
@@ -195,7 +195,7 @@
         });
     }
 
-    // Sends a question to a worker daemon; `answer` makes the event that comes back.
+    // Sends a query to a worker daemon; `answer` creates the event that is returned.
     template <typename Answer>
     void ask(const exchange_ptr& exchange, std::uint64_t operation, const vm_id& to, Answer answer)
     {
@@ -274,7 +274,7 @@
     void perform(const exchange_ptr& exchange, const send_dispatch& action)
     {
         auto& worker = workerOf(action.place.worker);
-        // Also counts what goes to a life that has ended meanwhile.
+        // Also counts attempts that are sent to an incarnation that has ended since.
         if (const auto left = m_leftAt.find(action.place.workerIncarnation); left != m_leftAt.end())
             m_report.drainLateWork = std::max(m_report.drainLateWork, m_time.now() - left->second);
         const auto deadline = m_time.now() + requestTimeout;
@@ -313,7 +313,7 @@
             lose(exchange, action.operation, false);
     }
 
-    void perform(const exchange_ptr&, const send_cancel&) { } // The engine's affair.
+    void perform(const exchange_ptr&, const send_cancel&) { } // Left to the engine.
     void perform(const exchange_ptr&, const forward_head&) { }
     void perform(const exchange_ptr& exchange, const forward_bytes& action) { exchange->forwarded += action.bytes; }
     void perform(const exchange_ptr& exchange, const finish_request& action)
@@ -325,7 +325,7 @@
             m_time.after(milliseconds(1, 3), [this, exchange, action] { callerHears(exchange, action); });
     }
 
-    // --- worker daemon
+    // Worker daemon.
     void follow(const exchange_ptr& exchange, std::uint64_t operation, trial_worker& worker, const attempt_id& attempt,
         std::uint64_t offset)
     {
@@ -336,7 +336,7 @@
         sendPieces(worker, attempt);
     }
 
-    // Returns false when the stream broke.
+    // Sends one piece of an answer. Returns false if the stream broke.
     bool sendPiece(
         const exchange_ptr& exchange, std::uint64_t operation, trial_worker& worker, const answer_piece& piece)
     {
@@ -368,7 +368,7 @@
                 return attempt_failed {};
             }
         };
-        // Late pieces may overtake each other here, which TCP would not allow: the flow has to bear that too.
+        // Late pieces may overtake each other, unlike with TCP. The flow must handle that too.
         if (const auto event = std::visit(visitor {}, piece))
             m_time.after(flightTime(), [this, exchange, operation, event = *event] {
                 feed(exchange, { operation, event });
@@ -448,7 +448,7 @@
             m_time.after(25ms, [this, end] { scheduleTicks(end); });
     }
 
-    // --- caller
+    // Caller.
     void callerHears(const exchange_ptr& exchange, const finish_request& told)
     {
         auto& request = exchange->request;
@@ -487,8 +487,8 @@
         callerDecides(request, false, true, {});
     }
 
-    // A caller without a key sends again only what was not run; one with a key unless it is told not to, and within the
-    // key's lifetime.
+    // Retries a request or settles it. Without a key, a caller retries only a request that was not run. With a key, it
+    // retries within the key's lifetime unless the answer forbids that.
     void callerDecides(trial_request& request, bool wasNotRun, bool keyHelps, duration wait)
     {
         request.current = -1;
--- a/coltsfootbend/measure/request_trial.h
+++ b/coltsfootbend/measure/request_trial.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// Runs many callers' requests through the shipped request flow, router, executor and claim ledger in virtual time, with
-// faults, and counts what must never happen. Entry VMs, worker daemons, engines, callers and the network are small
-// fakes; every decision is the product's. For property tests and for the figures of `coltsfootbend_measure`.
+// Simulates many callers' requests through the shipped request flow, router, executor and claim ledger in virtual time,
+// with injected faults, and counts violations of the guarantees to callers. Entry VMs, worker daemons, engines, callers
+// and the network are small fakes; all decisions are made by the shipped code. For property tests and for the figures
+// of `coltsfootbend_measure`.
 //
 //     auto report = runRequestTrial({ .seed = 1, .requests = 1000, .faults = { fault_kind::MessageLost } });
 //     ASSERT_EQ(report.doubled, 0);
@@ -16,6 +17,7 @@
 
 namespace coltsfootbend {
 
+// Faults that a trial injects.
 enum class fault_kind {
     MessageLost,
     MessageLate,
@@ -31,27 +33,29 @@
 constexpr std::size_t faultKinds = 10;
 const char* toString(fault_kind);
 
-// Where the claim of a key is kept: the ways that docs/design/AT-MOST-ONCE.md weighs.
+// Where the claim of a key is stored. docs/design/AT-MOST-ONCE.md compares these alternatives.
 enum class claim_way {
-    Home, // Shipped: the worker daemon that the key hashes to.
-    Table, // A row of the platform's table for each key.
-    Ticket, // Shipped too: a worker daemon of the data centre where the first attempt went in, named in the key.
-    None, // Baseline: no claims, and every loss is simply tried again elsewhere.
+    Home, // Shipped: in the worker daemon that the key hashes to.
+    Table, // In a row of the platform's table for each key.
+    Ticket, // Shipped: in a worker daemon of the data centre that received the first attempt, named in the key.
+    None, // Baseline: no claims; every lost attempt is retried on another worker.
 };
 const char* toString(claim_way);
 
+// Number of requests, the faults to inject and the mix of keys.
 struct request_trial_options {
     std::uint64_t seed = 1;
     std::size_t requests = 1000;
     std::vector<fault_kind> faults {};
     claim_way way = claim_way::Home;
-    // Share of requests that carry a key; of those, the share whose callers count their attempts.
+    // Share of the requests that carry a key, and the share of those whose callers number their attempts.
     double keyedShare = 0.7;
     double countedShare = 0.5;
-    // Of the keys, with the way `Home`: the share that are tickets.
+    // Share of the keys that are tickets. Applies to `claim_way::Home`.
     double ticketShare = 0;
 };
 
+// Results of one trial, or the sums over several.
 struct request_trial_report {
     std::size_t tried = 0;
     std::size_t answered = 0;
@@ -59,14 +63,16 @@
     std::size_t unknown = 0;
     std::size_t callerAttempts = 0;
     std::size_t refusedAttempts = 0; // Caller attempts that ended without an answer.
-    // What must never happen.
+    // Violations of the guarantees: requests that ran twice, that got another request's answer, and that were reported
+    // as not run although they ran.
     std::size_t doubled = 0;
     std::size_t mispaired = 0;
     std::size_t falseNotRun = 0;
     std::size_t tableWrites = 0;
-    // Sum over answered requests of the time to the whole answer.
+    // Sum over the answered requests of the time to the complete answer.
     duration answerTime {};
-    // Planned stops of worker daemons, answers that they cut off, and how long after "leaving" work still came.
+    // Planned stops of worker daemons, answers that these stops cut off, and the longest time after the start of a stop
+    // at which an attempt was still sent to the stopping daemon.
     std::size_t drains = 0;
     std::size_t drainCut = 0;
     duration drainLateWork {};
@@ -74,6 +80,7 @@
     void add(const request_trial_report&);
 };
 
+// Runs one trial; the same options give the same report.
 request_trial_report runRequestTrial(const request_trial_options&);
 
 } // namespace coltsfootbend
--- a/coltsfootbend/measure/request_trial_test.cpp
+++ b/coltsfootbend/measure/request_trial_test.cpp
@@ -6,7 +6,7 @@
 namespace coltsfootbend {
 namespace {
 
-// The brief's promises to callers, under any two faults and any seed.
+// Checks the guarantees to callers under any two faults and any seed.
 RC_GTEST_PROP(Promises, NothingIsDoubledMispairedOrFalselyNotRun, ())
 {
     const auto fault = [] { return static_cast<fault_kind>(*rc::gen::inRange<std::size_t>(0, faultKinds)); };
@@ -21,7 +21,7 @@
     RC_ASSERT(report.answered + report.notRun + report.unknown == report.tried);
 }
 
-// The trial can fail: the same faults without claims do double.
+// Checks that the trial detects requests that run twice: without claims, these faults cause them.
 TEST(Promises, WithoutClaimsTheSameFaultsDouble)
 {
     std::size_t doubled = 0;
--- a/coltsfootbend/measure/request_world.cpp
+++ b/coltsfootbend/measure/request_world.cpp
@@ -61,7 +61,7 @@
     entry.routes->setWorkers(known);
 }
 
-// Entry VMs learn of a change at different times.
+// Updates the known workers of all entry VMs, each after a different delay.
 void request_world::announce()
 {
     for (auto& entry : m_entries)
@@ -139,11 +139,11 @@
     case fault_kind::MessageLate:
     case fault_kind::EngineFails:
     case fault_kind::CallerGone:
-        return; // Happen by chance to single messages and requests.
+        return; // Drawn for each message or request.
     }
 }
 
-// A planned stop ends when nothing runs any more, or at its limit.
+// Ends a planned stop when no attempt runs and no answer is read any more, or at the drain limit.
 void request_world::endLife(trial_worker& worker, std::uint64_t life)
 {
     if (worker.life != life)
--- a/coltsfootbend/measure/request_world.h
+++ b/coltsfootbend/measure/request_world.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The processes and the network that `request_trial` plays callers' requests through: entry VMs and worker daemons of
-// three data centres, their lives, and the faults that happen to them. Decisions are the product's; only what surrounds
-// them is made here. For trials only.
+// Simulates the processes and the network that `request_trial` sends callers' requests through: entry VMs and worker
+// daemons of three data centres, their incarnations, and injected faults. All decisions are made by the shipped code;
+// this class simulates its environment. For trials only.
 //
 //     class request_trial : private request_world { ... };
 
@@ -26,7 +26,7 @@
 constexpr std::chrono::milliseconds requestTimeout { 1500 };
 constexpr std::chrono::seconds keyLifetime { 60 };
 
-// A worker daemon's VM, through its lives.
+// A worker daemon's VM with its current incarnation.
 struct trial_worker {
     vm_id id;
     int dataCentre = 0;
@@ -34,12 +34,12 @@
     std::unique_ptr<attempt_executor> executor;
     time_point pausedUntil {};
     time_point leftAt {};
-    // Who follows an attempt's answer, and how far each has got.
+    // The readers of each attempt's answer, with their positions in it.
     std::multimap<attempt_id, std::pair<std::function<bool(const answer_piece&)>, answer_position>> followers;
     std::map<attempt_id, std::size_t> requests;
 };
 
-// One life of an entry VM.
+// One incarnation of an entry VM.
 struct trial_entry final : public attempt_source {
     vm_id id;
     int dataCentre = 0;
@@ -51,6 +51,7 @@
     attempt_id nextAttempt() override { return { id, life, ++serial }; }
 };
 
+// Base class of `request_trial` that holds the processes, the clock and the random source.
 class request_world {
 public:
     explicit request_world(const request_trial_options&);
@@ -63,13 +64,14 @@
     bool has(fault_kind) const;
 
     trial_worker& workerOf(const vm_id&);
-    // Called when a fault has changed what a worker daemon has to do.
+    // Called after a fault has changed the work of a worker daemon.
     virtual void workerChanged(trial_worker&) = 0;
     void inject(fault_kind);
 
     bool isCut(int from, int to) const { return from != to && (from == m_cutOff || to == m_cutOff); }
     duration flightTime();
-    // Carries one message into a worker daemon, which may be paused. Returns false when it never arrives.
+    // Sends one message to a worker daemon, which receives it after its pause, if it is paused. Returns false if the
+    // message is lost.
     bool carry(int from, trial_worker&, std::function<void()> deliver);
     void deliverTo(trial_worker&, time_point when, std::function<void()> deliver);
 
@@ -80,8 +82,8 @@
     std::vector<std::unique_ptr<trial_worker>> m_workers;
     std::vector<vm_id> m_holders;
     std::vector<std::shared_ptr<trial_entry>> m_entries;
-    std::map<incarnation, time_point> m_leftAt; // When lives that were asked to leave were.
-    int m_cutOff = -1; // The data centre that is cut off from the others and the platform.
+    std::map<incarnation, time_point> m_leftAt; // Start of the planned stop of each incarnation that has one.
+    int m_cutOff = -1; // Data centre that is cut off from the others and the platform, or -1.
     std::size_t m_drains = 0;
     std::size_t m_drainCut = 0;
 
--- a/coltsfootbend/measure/scenario.h
+++ b/coltsfootbend/measure/scenario.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A scenario measures some figures and writes each as one line of JSON. `scenarios()` lists all of them; each lives in
-// a source file of its own.
+// Declares the scenarios of `coltsfootbend_measure`. A scenario measures some figures and writes each of them as one
+// line of JSON. `scenarios()` returns all of them; each source file defines related ones.
 //
 //     { "scenario": "requests", "figure": "requests.doubled", "value": 0, "unit": "requests", "baseline": 312 }
 
@@ -15,6 +15,7 @@
 
 namespace coltsfootbend {
 
+// Writes the figures of one scenario to a stream.
 class figure_writer {
 public:
     figure_writer(std::string scenario, std::ostream& out)
@@ -23,7 +24,7 @@
     {
     }
 
-    // Writes one figure. `baseline` is the same figure of the plain version that is named with it.
+    // Writes one figure. `baseline` is the same figure of the baseline that `baselineName` describes.
     void write(std::string_view figure, double value, std::string_view unit, std::optional<double> baseline = {},
         std::string_view baselineName = {});
 
@@ -32,15 +33,17 @@
     std::ostream& m_out;
 };
 
+// A named scenario, its description for `--list`, and the function that measures it.
 struct scenario {
     std::string name;
     std::string what;
     std::function<void(figure_writer&)> run;
 };
 
+// Returns all scenarios.
 const std::vector<scenario>& scenarios();
 
-// The scenarios of each file.
+// Each function returns the scenarios of one source file.
 std::vector<scenario> requestScenarios();
 std::vector<scenario> fleetScenarios();
 std::vector<scenario> groupScenarios();
--- a/coltsfootbend/measure/virtual_time.h
+++ b/coltsfootbend/measure/virtual_time.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A clock that only moves when told, and a queue of what happens when. For tests and measurements, so that hours pass
-// in moments and every run is the same.
+// Provides a manually advanced clock with a queue of scheduled functions. Tests and measurements use it to simulate
+// hours quickly and to make every run deterministic.
 //
 //     virtual_time time;
 //     time.after(5ms, [&] { ... });
@@ -16,17 +16,20 @@
 
 namespace coltsfootbend {
 
+// A simulated clock and its queue. Functions that are due at the same time run in the order of scheduling.
 class virtual_time {
 public:
     time_point now() const { return m_now; }
 
+    // Schedules `work` at `when`, or now if `when` is past.
     void at(time_point when, std::function<void()> work)
     {
         m_queue.emplace(std::pair { std::max(when, m_now), ++m_order }, std::move(work));
     }
+    // Schedules `work` after `delay`.
     void after(duration delay, std::function<void()> work) { at(m_now + delay, std::move(work)); }
 
-    // Runs what is due up to `end`, in order, and moves the clock there.
+    // Runs the functions that are due up to `end`, in order, and then sets the clock to `end`.
     void runUntil(time_point end)
     {
         while (!m_queue.empty() && m_queue.begin()->first.first <= end) {
