--- a/coltsfootbend/measure/cost_scenarios.cpp
+++ b/coltsfootbend/measure/cost_scenarios.cpp
@@ -102,12 +102,12 @@
     const auto directoryOf = [](std::size_t count) {
         auto directory = std::make_unique<worker_directory>(worker_directory::options {});
         for (std::size_t i = 0; i < count; ++i) {
-            wire::announce word;
-            word.worker = vm_id("worker-" + std::to_string(i));
-            word.workerIncarnation = incarnation(i + 1);
-            word.address = "10.0.0.1:9000";
-            word.deployments = { deployment_id("drafts") };
-            (void)directory->observe(start, word);
+            wire::announce announcement;
+            announcement.worker = vm_id("worker-" + std::to_string(i));
+            announcement.workerIncarnation = incarnation(i + 1);
+            announcement.address = "10.0.0.1:9000";
+            announcement.deployments = { deployment_id("drafts") };
+            (void)directory->observe(start, announcement);
         }
         return directory;
     };
@@ -120,14 +120,14 @@
 
 void measureMessages(figure_writer& out)
 {
-    wire::announce word;
-    word.worker = vm_id("worker-1234");
-    word.workerIncarnation = incarnation(~0ULL);
-    word.dataCentre = data_centre_id("ist-1");
-    word.address = "10.20.30.40:9000";
-    word.deployments = { deployment_id("drafts") };
-    word.current.pendingServiceUs = { 100'000, 200'000 };
-    const wire::message message { vm_id("worker-1234"), incarnation(~0ULL), config_version(9400), word };
+    wire::announce announcement;
+    announcement.worker = vm_id("worker-1234");
+    announcement.workerIncarnation = incarnation(~0ULL);
+    announcement.dataCentre = data_centre_id("ist-1");
+    announcement.address = "10.20.30.40:9000";
+    announcement.deployments = { deployment_id("drafts") };
+    announcement.current.pendingServiceUs = { 100'000, 200'000 };
+    const wire::message message { vm_id("worker-1234"), incarnation(~0ULL), config_version(9400), announcement };
     const auto bytes = wire::encode(message);
     out.write("message.announce_bytes", static_cast<double>(bytes.size()), "bytes");
     out.write("message.encode_ns", nanosecondsEach(50'000, [&](std::size_t) { (void)wire::encode(message); }), "ns");
--- a/coltsfootbend/measure/group_scenarios.cpp
+++ b/coltsfootbend/measure/group_scenarios.cpp
@@ -21,7 +21,7 @@
 }
 
 // Runs the baseline with only those faults that it survives: a restarted rank would stop it permanently.
-group_trial_report runPlain(std::uint64_t steps)
+group_trial_report runBaseline(std::uint64_t steps)
 {
     group_trial_report total;
     for (const auto fault : { group_fault::MessageLost, group_fault::MessageLate, group_fault::RankStalls })
@@ -33,7 +33,7 @@
 {
     constexpr std::uint64_t stepsEach = 23'000;
     const auto shipped = runShipped(stepsEach);
-    const auto plain = runPlain(20'000);
+    const auto plain = runBaseline(20'000);
     out.write("step.tried", static_cast<double>(shipped.steps), "steps");
     out.write("step.fault_kinds", groupFaults, "kinds");
     out.write("step.changes", static_cast<double>(shipped.changes), "map changes");
--- a/coltsfootbend/measure/group_trial.cpp
+++ b/coltsfootbend/measure/group_trial.cpp
@@ -35,7 +35,7 @@
 constexpr step_number grantAhead = 8;
 constexpr auto mapLoadTime = 300ms;
 constexpr auto faultInterval = 3s;
-constexpr auto longestTrial = 1h;
+constexpr auto maxTrialDuration = 1h;
 
 struct trial_rank {
     std::unique_ptr<rank_agent> agent;
@@ -63,14 +63,14 @@
     group_trial_report run()
     {
         for (rank_number rank = 0; rank < m_options.ranks; ++rank)
-            startLife(rank);
+            startIncarnation(rank);
         startChange();
         scheduleChanges();
         scheduleFaults();
         const auto startedAt = m_time.now();
         m_firstStepAt = startedAt;
         pump();
-        while (m_step < m_options.steps && m_time.now() < startedAt + longestTrial)
+        while (m_step < m_options.steps && m_time.now() < startedAt + maxTrialDuration)
             m_time.runUntil(m_time.now() + 1s);
         m_report.steps = m_step;
         m_report.total = m_lastStepAt - m_firstStepAt;
@@ -79,7 +79,7 @@
     }
 
 private:
-    bool has(group_fault fault) const
+    bool hasFault(group_fault fault) const
     {
         return std::find(m_options.faults.begin(), m_options.faults.end(), fault) != m_options.faults.end();
     }
@@ -90,11 +90,11 @@
     }
 
     // Ranks and their engines.
-    void startLife(rank_number rank)
+    void startIncarnation(rank_number rank)
     {
         auto& state = m_ranks[rank];
-        state.agent = std::make_unique<rank_agent>(
-            rank_agent::options { .rank = rank, .ownIncarnation = incarnation(++m_lives), .lastEngineStep = m_step });
+        state.agent = std::make_unique<rank_agent>(rank_agent::options {
+            .rank = rank, .ownIncarnation = incarnation(++m_lastIncarnation), .lastEngineStep = m_step });
         state.granted.clear(); // The engine stops after its current step.
         state.nextGrant = m_step + 1;
         state.loading.reset();
@@ -143,7 +143,7 @@
         });
     }
 
-    void loadIfWanted(rank_number rank)
+    void loadRequestedMap(rank_number rank)
     {
         auto& state = m_ranks[rank];
         const auto wanted = state.agent->mapToLoad();
@@ -156,19 +156,19 @@
                 return;
             now.loading.reset();
             answer(rank, now.agent->onMapLoaded(map));
-            loadIfWanted(rank);
+            loadRequestedMap(rank);
             pump();
         });
     }
 
     // Messages. Each may be lost, delayed or duplicated, and may so overtake others.
-    void carry(const std::function<void()>& deliver)
+    void sendMessage(const std::function<void()>& deliver)
     {
-        if (has(group_fault::MessageLost) && chance(0.1))
+        if (hasFault(group_fault::MessageLost) && chance(0.1))
             return;
-        const int copies = has(group_fault::MessageDoubled) && chance(0.2) ? 2 : 1;
+        const int copies = hasFault(group_fault::MessageDoubled) && chance(0.2) ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
-            const bool late = has(group_fault::MessageLate) && chance(0.1);
+            const bool late = hasFault(group_fault::MessageLate) && chance(0.1);
             m_time.after(late ? between(10, 5000) : between(1, 2), deliver);
         }
     }
@@ -176,11 +176,11 @@
     void send(const std::vector<coordinator_order>& orders)
     {
         for (const auto& order : orders) {
-            carry([this, order, groupLife = m_groupLife] {
-                if (groupLife != m_groupLife)
+            sendMessage([this, order, groupIncarnation = m_groupIncarnation] {
+                if (groupIncarnation != m_groupIncarnation)
                     return;
                 answer(order.rank, m_ranks[order.rank].agent->handle(order.message));
-                loadIfWanted(order.rank);
+                loadRequestedMap(order.rank);
                 pump();
             });
         }
@@ -190,8 +190,8 @@
     {
         if (!message)
             return;
-        carry([this, rank, message = *message, groupLife = m_groupLife] {
-            if (groupLife != m_groupLife)
+        sendMessage([this, rank, message = *message, groupIncarnation = m_groupIncarnation] {
+            if (groupIncarnation != m_groupIncarnation)
                 return;
             // Every coordinator receives the message and ignores it if its epoch is another one's.
             for (const auto& coordinator : m_coordinators) {
@@ -207,10 +207,10 @@
     void startChange()
     {
         if (m_options.withoutPromises) {
-            switchBlindly();
+            switchWithoutPromises();
             return;
         }
-        const auto limit = has(group_fault::ChangeAbandoned) && chance(0.5) ? between(50, 700) : duration(30s);
+        const auto limit = hasFault(group_fault::ChangeAbandoned) && chance(0.5) ? between(50, 700) : duration(30s);
         const auto number = ++m_coordinatorNumber;
         const map_coordinator::options change { .epoch = { ++m_epoch, number },
             .map = map_version(++m_map),
@@ -233,13 +233,13 @@
     }
 
     // Baseline: orders every rank to switch at a step in the near future.
-    void switchBlindly()
+    void switchWithoutPromises()
     {
         const map_version map(++m_map);
         const bool isFirst = m_step == 0; // Always delivered, because no step runs before the first map.
         const auto at = isFirst ? 1 : m_step + 64;
         for (rank_number rank = 0; rank < m_options.ranks; ++rank) {
-            const auto take = [this, rank, map, at] {
+            const auto applySwitch = [this, rank, map, at] {
                 auto& agent = *m_ranks[rank].agent;
                 (void)agent.onMapLoaded(map);
                 auto schedule = agent.schedule();
@@ -254,9 +254,9 @@
                 pump();
             };
             if (isFirst)
-                m_time.after(1ms, take);
+                m_time.after(1ms, applySwitch);
             else
-                carry(take);
+                sendMessage(applySwitch);
         }
     }
 
@@ -264,14 +264,14 @@
     {
         m_time.after(m_options.changeInterval, [this] {
             // Removes the earlier coordinators, or lets up to three of them run beside the new one.
-            const bool keepOld = has(group_fault::TwoCoordinators) || has(group_fault::CoordinatorPaused);
+            const bool keepOld = hasFault(group_fault::TwoCoordinators) || hasFault(group_fault::CoordinatorPaused);
             if (!keepOld || m_coordinators.size() > 3) {
                 m_coordinators.clear();
             }
             startChange();
-            if (has(group_fault::TwoCoordinators))
+            if (hasFault(group_fault::TwoCoordinators))
                 m_time.after(between(0, 400), [this] { startChange(); });
-            if (has(group_fault::CoordinatorPaused)) {
+            if (hasFault(group_fault::CoordinatorPaused)) {
                 const auto pausedFrom = m_time.now() + between(0, 500);
                 m_time.at(pausedFrom, [this] {
                     if (!m_coordinators.empty())
@@ -286,17 +286,17 @@
     {
         m_time.after(faultInterval + between(0, 500), [this] {
             const auto rank = static_cast<rank_number>(m_random() % m_options.ranks);
-            if (has(group_fault::RankStalls))
+            if (hasFault(group_fault::RankStalls))
                 stall(rank);
-            if (has(group_fault::RankRestarts)) {
-                startLife(rank);
+            if (hasFault(group_fault::RankRestarts)) {
+                startIncarnation(rank);
                 startChange(); // The other ranks need a decision that includes the new incarnation.
             }
-            if (has(group_fault::RankReplaced) && chance(0.3)) {
-                ++m_groupLife;
+            if (hasFault(group_fault::RankReplaced) && chance(0.3)) {
+                ++m_groupIncarnation;
                 m_coordinators.clear();
                 for (rank_number each = 0; each < m_options.ranks; ++each)
-                    startLife(each);
+                    startIncarnation(each);
                 startChange();
             }
             scheduleFaults();
@@ -317,8 +317,8 @@
     std::uint64_t m_epoch = 0;
     std::uint64_t m_coordinatorNumber = 0;
     std::uint64_t m_map = 0;
-    std::uint64_t m_lives = 0;
-    std::uint64_t m_groupLife = 1;
+    std::uint64_t m_lastIncarnation = 0;
+    std::uint64_t m_groupIncarnation = 1;
     step_number m_step = 0;
     bool m_inStep = false;
     std::optional<map_version> m_lastMap;
--- a/coltsfootbend/measure/load_main.cpp
+++ b/coltsfootbend/measure/load_main.cpp
@@ -42,7 +42,7 @@
     std::size_t mispaired = 0;
     std::vector<double> latencyMs;
     std::vector<double> directMs;
-    std::vector<std::string> toldNotRun;
+    std::vector<std::string> reportedNotRun;
 };
 
 double quantile(std::vector<double> values, double share)
@@ -116,10 +116,11 @@
                 check(index, response->body);
                 return;
             }
-            const auto told = response ? findHeader(response->head.headers, "Coltsfootbend-Outcome").value_or("") : "";
-            const bool last = attempt == maxAttempts || (!m_options.keyed && told != "not-run");
+            const auto reportedOutcome
+                = response ? findHeader(response->head.headers, "Coltsfootbend-Outcome").value_or("") : "";
+            const bool last = attempt == maxAttempts || (!m_options.keyed && reportedOutcome != "not-run");
             if (last) {
-                settle(index, told);
+                settle(index, reportedOutcome);
                 return;
             }
             m_runtime.sleepFor(std::chrono::milliseconds(100 + m_random() % 200));
@@ -149,11 +150,11 @@
             ++counts.mispaired;
     }
 
-    void settle(std::size_t index, const std::string& told)
+    void settle(std::size_t index, const std::string& reportedOutcome)
     {
-        if (told == "not-run") {
+        if (reportedOutcome == "not-run") {
             ++counts.notRun;
-            counts.toldNotRun.push_back(messagesOf(index).dump());
+            counts.reportedNotRun.push_back(messagesOf(index).dump());
         } else {
             ++counts.unknown;
         }
@@ -193,7 +194,7 @@
     for (const auto& [prompt, count] : load.runs)
         doubled += count > 1 && prompt.find(options.label) != std::string::npos ? 1 : 0;
     std::size_t falseNotRun = 0;
-    for (const auto& prompt : counts.toldNotRun)
+    for (const auto& prompt : counts.reportedNotRun)
         falseNotRun += load.runs.contains(prompt) ? 1 : 0;
     out.write("requests.tried", static_cast<double>(options.requests), "requests");
     out.write("requests.answered", static_cast<double>(counts.answered), "requests");
--- a/coltsfootbend/measure/main.cpp
+++ b/coltsfootbend/measure/main.cpp
@@ -26,7 +26,7 @@
         wanted = arguments["scenario"].as<std::vector<std::string>>();
     if (arguments.count("list") > 0) {
         for (const auto& known : scenarios())
-            std::cout << known.name << "  " << known.what << "\n";
+            std::cout << known.name << "  " << known.description << "\n";
         return 0;
     }
     for (const auto& name : wanted) {
--- a/coltsfootbend/measure/membership_scenarios.cpp
+++ b/coltsfootbend/measure/membership_scenarios.cpp
@@ -23,8 +23,8 @@
     {
         for (int worker = 0; worker < workers; ++worker)
             m_time.after(std::chrono::milliseconds(m_random() % 1000), [this, worker] { announce(worker); });
-        m_time.after(100ms, [this] { look(); });
-        m_time.after(10s, [this] { killOne(); });
+        m_time.after(100ms, [this] { checkDirectory(); });
+        m_time.after(10s, [this] { terminateRandomWorker(); });
         m_time.runUntil(m_end);
     }
 
@@ -38,50 +38,50 @@
 
     void announce(int worker)
     {
-        if (m_time.now() >= m_deadUntil[worker]) {
-            wire::announce word;
-            word.worker = nameOf(worker);
-            word.workerIncarnation = incarnation(static_cast<std::uint64_t>(m_lives[worker]) + 1);
-            word.deployments = { deployment_id("d") };
+        if (m_time.now() >= m_terminatedUntil[worker]) {
+            wire::announce announcement;
+            announcement.worker = nameOf(worker);
+            announcement.workerIncarnation = incarnation(static_cast<std::uint64_t>(m_restarts[worker]) + 1);
+            announcement.deployments = { deployment_id("d") };
             const auto delay = uniform() < stallShare ? 500ms : 1ms;
             if (uniform() >= lossShare)
-                m_time.after(delay, [this, word] { (void)m_directory.observe(m_time.now(), word); });
+                m_time.after(delay, [this, announcement] { (void)m_directory.observe(m_time.now(), announcement); });
         }
         m_time.after(announceInterval, [this, worker] { announce(worker); });
     }
 
     // Terminates a random worker every 30 s; its replacement starts after 20 s.
-    void killOne()
+    void terminateRandomWorker()
     {
         const auto worker = static_cast<int>(m_random() % workers);
-        if (m_time.now() >= m_deadUntil[worker]) {
-            m_deadUntil[worker] = m_time.now() + 20s;
-            m_diedAt[worker] = m_time.now();
+        if (m_time.now() >= m_terminatedUntil[worker]) {
+            m_terminatedUntil[worker] = m_time.now() + 20s;
+            m_terminatedAt[worker] = m_time.now();
             m_detected[worker] = false;
-            ++m_lives[worker];
+            ++m_restarts[worker];
         }
-        m_time.after(30s, [this] { killOne(); });
+        m_time.after(30s, [this] { terminateRandomWorker(); });
     }
 
-    void look()
+    void checkDirectory()
     {
         (void)m_directory.expire(m_time.now());
         for (int worker = 0; worker < workers; ++worker) {
             const auto* known = m_directory.find(nameOf(worker));
-            const bool isDead = m_time.now() < m_deadUntil[worker];
+            const bool isTerminated = m_time.now() < m_terminatedUntil[worker];
             const bool isSuspected = !known || m_time.now() >= known->suspectAt;
-            if (isDead && isSuspected && !m_detected[worker]) {
+            if (isTerminated && isSuspected && !m_detected[worker]) {
                 m_detected[worker] = true;
-                detectMs.push_back(toMilliseconds(m_time.now() - m_diedAt[worker]));
+                detectMs.push_back(toMilliseconds(m_time.now() - m_terminatedAt[worker]));
             }
             // Announcements of new workers and of replacements may not have been received yet.
-            const bool isSettled = m_time.now() > m_deadUntil[worker] + 5s && m_time.now() > m_start + 5s;
+            const bool isSettled = m_time.now() > m_terminatedUntil[worker] + 5s && m_time.now() > m_start + 5s;
             falseDeaths += isSettled && !known ? 1 : 0;
             const bool wasSuspected = m_suspected[worker];
             m_suspected[worker] = isSuspected;
             falseSuspicions += isSettled && isSuspected && !wasSuspected ? 1 : 0;
         }
-        m_time.after(100ms, [this] { look(); });
+        m_time.after(100ms, [this] { checkDirectory(); });
     }
 
     std::mt19937_64 m_random { 5 };
@@ -89,11 +89,11 @@
     const time_point m_start = m_time.now();
     const time_point m_end = m_start + length;
     worker_directory m_directory { worker_directory::options {} };
-    std::vector<time_point> m_deadUntil = std::vector<time_point>(workers);
-    std::vector<time_point> m_diedAt = std::vector<time_point>(workers);
+    std::vector<time_point> m_terminatedUntil = std::vector<time_point>(workers);
+    std::vector<time_point> m_terminatedAt = std::vector<time_point>(workers);
     std::vector<bool> m_detected = std::vector<bool>(workers);
     std::vector<bool> m_suspected = std::vector<bool>(workers);
-    std::vector<int> m_lives = std::vector<int>(workers);
+    std::vector<int> m_restarts = std::vector<int>(workers);
 };
 
 void measureMembership(figure_writer& out)
--- a/coltsfootbend/measure/model_group.cpp
+++ b/coltsfootbend/measure/model_group.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds soonestLate { 20 };
+constexpr std::chrono::milliseconds minLateness { 20 };
 
 // Returns a demand between 1 and 99, with a mean of about a third of that.
 std::uint64_t moderateDemand(std::uint64_t chance)
@@ -33,7 +33,7 @@
     m_isOpen = true;
     auto former = std::exchange(m_members, std::vector<member>(m_options.ranks));
     for (rank_number rank = 0; rank < former.size(); ++rank)
-        m_members[rank].life = former[rank].life;
+        m_members[rank].engineIncarnation = former[rank].engineIncarnation;
     for (rank_number rank = 0; rank < m_options.ranks; ++rank) {
         m_members[rank].counts.assign(std::size_t { m_options.sets } * m_options.experts, 0);
         m_members[rank].experts.assign(m_options.sets, {});
@@ -47,9 +47,9 @@
 void model_group::restart(rank_number rank)
 {
     m_isOpen = false;
-    const auto before = m_members[rank].life.number();
+    const auto before = m_members[rank].engineIncarnation.number();
     m_members[rank] = member {};
-    m_members[rank].life = engine_incarnation(before + 1);
+    m_members[rank].engineIncarnation = engine_incarnation(before + 1);
 }
 
 bool model_group::beginPass()
@@ -100,26 +100,26 @@
     }
 }
 
-std::optional<duration> model_group::drawLateness()
+std::optional<duration> model_group::drawDelay()
 {
     if (!chance(m_lateShare))
         return std::nullopt;
     const auto longest = std::chrono::duration_cast<std::chrono::milliseconds>(m_options.latest).count();
     return std::chrono::milliseconds(
-        std::uniform_int_distribution<std::int64_t>(soonestLate.count(), longest)(m_random));
+        std::uniform_int_distribution<std::int64_t>(minLateness.count(), longest)(m_random));
 }
 
-result<void> model_engine::order(group_epoch epoch, const model_group::order_work& work, time_point deadline)
+result<void> model_engine::order(group_epoch epoch, const model_group::order_action& work, time_point deadline)
 {
-    if (const auto late = m_place->group->drawLateness()) {
+    if (const auto late = m_place->group->drawDelay()) {
         m_runtime.spawn([&runtime = m_runtime, place = m_place, epoch, work, late] {
             runtime.sleepFor(*late);
-            (void)place->group->carryOut(place->rank, epoch, work);
+            (void)place->group->execute(place->rank, epoch, work);
         });
         m_runtime.sleepUntil(deadline);
         return fail(error_kind::TimedOut, "the model does not answer this order", "Look at the report");
     }
-    if (m_place->group->carryOut(m_place->rank, epoch, work))
+    if (m_place->group->execute(m_place->rank, epoch, work))
         return {};
     return fail(error_kind::Stale, "the model's state does not allow this order", "Look at the report");
 }
@@ -129,7 +129,7 @@
     const auto& group = *m_place->group;
     const auto& mine = group.at(m_place->rank);
     rank_report report;
-    report.incarnation = mine.life;
+    report.incarnation = mine.engineIncarnation;
     report.running = group.running();
     report.group = group_membership { group.name(), group.epoch(), m_place->rank, group.ranks(), group.isOpen() };
     report.step = group.step();
@@ -145,7 +145,7 @@
 {
     const auto& group = *m_place->group;
     const auto& mine = group.at(m_place->rank);
-    return rank_demand { .incarnation = mine.life, .epoch = group.epoch(), .counts = mine.counts };
+    return rank_demand { .incarnation = mine.engineIncarnation, .epoch = group.epoch(), .counts = mine.counts };
 }
 
 result<rank_maps> model_engine::maps(time_point)
--- a/coltsfootbend/measure/model_group.h
+++ b/coltsfootbend/measure/model_group.h
@@ -42,7 +42,7 @@
 
     // The state of one rank in map changes.
     struct member {
-        engine_incarnation life { 1 };
+        engine_incarnation engineIncarnation { 1 };
         engine_map_version highest = 0;
         engine_map_version version = 0;
         rank_experts experts;
@@ -65,11 +65,11 @@
     // Sets the share of later orders that are executed late.
     void setLateShare(double share) { m_lateShare = share; }
 
-    using order_work = std::function<bool(member&, pass_number)>;
+    using order_action = std::function<bool(member&, pass_number)>;
     // Draws whether an order is late. Returns its delay, or nothing if it is on time.
-    std::optional<duration> drawLateness();
+    std::optional<duration> drawDelay();
     // Executes `work` on `rank`. Returns false if `work` does, or if `epoch` is not the current one.
-    bool carryOut(rank_number rank, group_epoch epoch, const order_work& work)
+    bool execute(rank_number rank, group_epoch epoch, const order_action& work)
     {
         return m_epoch == epoch && work(m_members[rank], m_step);
     }
@@ -140,7 +140,7 @@
 
     // Executes `work` now or late. Fails with `Stale` if the state does not allow it, and with `TimedOut` at `deadline`
     // if it is late.
-    result<void> order(group_epoch, const model_group::order_work&, time_point deadline);
+    result<void> order(group_epoch, const model_group::order_action&, time_point deadline);
 
     fiber_runtime& m_runtime;
     std::shared_ptr<place> m_place; // Shared with late orders, which may outlive the engine.
--- a/coltsfootbend/measure/rebalance_scenarios.cpp
+++ b/coltsfootbend/measure/rebalance_scenarios.cpp
@@ -141,7 +141,7 @@
     double planMs = 0; // Maximum, in milliseconds.
 };
 
-enum class way { Planned, Never, Greedy, PerfectForecast };
+enum class placement_policy { Planned, Never, Greedy, PerfectForecast };
 
 time_point timeOf(int minute) { return time_point {} + std::chrono::minutes(minute + 60); }
 
@@ -153,7 +153,7 @@
     return windows;
 }
 
-outcome_figures runTrace(way how, const policy& policy, std::uint64_t seed)
+outcome_figures runTrace(placement_policy how, const policy& policy, std::uint64_t seed)
 {
     popularity_trace trace(seed);
     std::vector<expert_load> seen;
@@ -169,11 +169,11 @@
         if (minute % 5 != 0)
             shipped.observe(known);
         auto next = current;
-        if (how == way::Greedy) {
+        if (how == placement_policy::Greedy) {
             next = greedyOptimum(known, current);
-        } else if (how == way::PerfectForecast) {
+        } else if (how == placement_policy::PerfectForecast) {
             next = greedyOptimum(seen.back(), current);
-        } else if (how == way::Planned) {
+        } else if (how == placement_policy::Planned) {
             const auto startedAt = std::chrono::steady_clock::now();
             if (const auto plan = shipped.planIfDue(timeOf(minute))) {
                 shipped.onPlanApplied(*plan);
@@ -197,10 +197,10 @@
 void measureSkew(figure_writer& out, const std::string& user, const policy& policy)
 {
     constexpr std::uint64_t seed = 11;
-    const auto planned = runTrace(way::Planned, policy, seed);
-    const auto never = runTrace(way::Never, policy, seed);
-    const auto greedy = runTrace(way::Greedy, policy, seed);
-    const auto perfect = runTrace(way::PerfectForecast, policy, seed);
+    const auto planned = runTrace(placement_policy::Planned, policy, seed);
+    const auto never = runTrace(placement_policy::Never, policy, seed);
+    const auto greedy = runTrace(placement_policy::Greedy, policy, seed);
+    const auto perfect = runTrace(placement_policy::PerfectForecast, policy, seed);
     out.write("skew.max_over_mean", planned.skew, "ratio", greedy.skew, "greedy optimum each minute");
     out.write("skew.max_over_mean.never", never.skew, "ratio");
     out.write("skew.max_over_mean.perfect_forecast", perfect.skew, "ratio");
--- a/coltsfootbend/measure/request_scenarios.cpp
+++ b/coltsfootbend/measure/request_scenarios.cpp
@@ -28,13 +28,16 @@
     return sets;
 }
 
-request_trial_report runAll(claim_way way)
+request_trial_report runAll(claim_location claimLocation)
 {
     request_trial_report total;
     std::uint64_t seed = 1;
     for (const auto& faults : singlesAndPairs())
-        total.add(runRequestTrial(
-            { .seed = seed++, .requests = requestsEach, .faults = faults, .way = way, .ticketShare = 0.4 }));
+        total.add(runRequestTrial({ .seed = seed++,
+            .requests = requestsEach,
+            .faults = faults,
+            .claimLocation = claimLocation,
+            .ticketShare = 0.4 }));
     return total;
 }
 
@@ -42,8 +45,8 @@
 
 void measurePromises(figure_writer& out)
 {
-    const auto shipped = runAll(claim_way::Home);
-    const auto blind = runAll(claim_way::None);
+    const auto shipped = runAll(claim_location::Home);
+    const auto blind = runAll(claim_location::None);
     const char* blindName = "retry without claims";
     out.write("requests.tried", static_cast<double>(shipped.tried), "requests");
     out.write("faults.kinds", faultKinds, "kinds");
@@ -60,14 +63,15 @@
         if (i < faultKinds)
             faults.push_back(static_cast<fault_kind>(i));
         const std::string name = faults.empty() ? "none" : toString(faults.front());
-        for (const auto way : { claim_way::Home, claim_way::Table, claim_way::Ticket, claim_way::None }) {
+        for (const auto claimLocation :
+            { claim_location::Home, claim_location::Table, claim_location::Ticket, claim_location::None }) {
             const auto report = runRequestTrial({ .seed = 100 + i,
                 .requests = 4000,
                 .faults = faults,
-                .way = way,
+                .claimLocation = claimLocation,
                 .keyedShare = 1,
                 .countedShare = 0.5 });
-            const auto suffix = "." + name + "." + toString(way);
+            const auto suffix = "." + name + "." + toString(claimLocation);
             out.write("requests.unknown_share" + suffix, share(report.unknown, report.tried), "share");
             out.write("requests.refused_share" + suffix, share(report.refusedAttempts, report.callerAttempts), "share");
             out.write("requests.doubled" + suffix, static_cast<double>(report.doubled), "requests");
@@ -96,7 +100,7 @@
     const auto table = runRequestTrial({ .seed = 8,
         .requests = 20'000,
         .faults = { fault_kind::StoreDown },
-        .way = claim_way::Table,
+        .claimLocation = claim_location::Table,
         .keyedShare = 1 });
     out.write("store_down.served_share", share(report.answered, report.tried), "share",
         share(table.answered, table.tried), "claims in the table");
--- a/coltsfootbend/measure/request_trial.cpp
+++ b/coltsfootbend/measure/request_trial.cpp
@@ -18,10 +18,10 @@
     return names[static_cast<std::size_t>(kind)];
 }
 
-const char* toString(claim_way way)
+const char* toString(claim_location claimLocation)
 {
     constexpr const char* names[] = { "home", "table", "ticket", "none" };
-    return names[static_cast<std::size_t>(way)];
+    return names[static_cast<std::size_t>(claimLocation)];
 }
 
 void request_trial_report::add(const request_trial_report& other)
@@ -58,7 +58,7 @@
     int current = 0; // The attempt whose answer the caller awaits.
     int runs = 0;
     bool settled = false;
-    bool toldNotRun = false;
+    bool reportedNotRun = false;
     time_point firstAt {};
     std::optional<request_key> ticket;
 
@@ -82,8 +82,8 @@
             request.keyed = chance(m_options.keyedShare);
             request.counted = request.keyed && chance(m_options.countedShare);
             request.usesTicket = request.keyed
-                && (m_options.way == claim_way::Ticket
-                    || (m_options.way == claim_way::Home && chance(m_options.ticketShare)));
+                && (m_options.claimLocation == claim_location::Ticket
+                    || (m_options.claimLocation == claim_location::Home && chance(m_options.ticketShare)));
             m_time.after(requestSpacing * i, [this, &request] { callerSends(request); });
         }
         const auto end = m_time.now() + requestSpacing * m_options.requests;
@@ -136,7 +136,7 @@
         if (number == 1)
             request.firstAt = m_time.now();
         ++m_report.callerAttempts;
-        const auto entry = m_entries[pick(m_entries.size())];
+        const auto entry = m_entries[randomIndex(m_entries.size())];
         if (request.usesTicket && !request.ticket)
             request.ticket = newTicket(entry->dataCentre);
         auto started = std::make_shared<exchange>(*this, request, entry, number);
@@ -144,9 +144,9 @@
             .key = std::nullopt,
             .attemptNumber = request.counted ? static_cast<std::uint32_t>(number) : 0,
             .bodyHash = request.index + 1,
-            .idempotent = m_options.way == claim_way::None,
+            .idempotent = m_options.claimLocation == claim_location::None,
             .deadline = m_time.now() + requestTimeout };
-        if (request.keyed && m_options.way != claim_way::None)
+        if (request.keyed && m_options.claimLocation != claim_location::None)
             flow.key = request.ticket.value_or(request_key("k" + std::to_string(request.index)));
         auto home = m_holders[rendezvousIndex("c/k" + std::to_string(request.index), m_holders)];
         if (request.ticket) {
@@ -158,7 +158,7 @@
             flow, request_flow::services { *started, *entry->retries, *entry }, home, request_flow::limits {});
         m_time.after(milliseconds(1, 3), [this, started] { feed(started, { 0, caller_started {} }); });
         m_time.after(requestTimeout + 200ms, [this, started] { callerGivesUp(started); });
-        if (has(fault_kind::CallerGone) && chance(0.05)) {
+        if (hasFault(fault_kind::CallerGone) && chance(0.05)) {
             m_time.after(milliseconds(1, 30), [this, started] {
                 feed(started, { 0, caller_gone {} });
                 callerGivesUp(started);
@@ -168,8 +168,9 @@
 
     request_key newTicket(int dataCentre)
     {
-        const auto& holder = *m_workers[static_cast<std::size_t>(dataCentre * workersEach) + pick(workersEach)];
-        return makeTicket({ holder.id, incarnation(holder.life) }, m_random());
+        const auto& holder = *m_workers[static_cast<std::size_t>(dataCentre * workersPerDataCentre)
+            + randomIndex(workersPerDataCentre)];
+        return makeTicket({ holder.id, incarnation(holder.incarnationId) }, m_random());
     }
 
     void feed(const exchange_ptr& exchange, const flow_event& event)
@@ -177,7 +178,7 @@
         if (!isAlive(exchange) || exchange->flow->isDone())
             return;
         for (const auto& action : exchange->flow->handle(m_time.now(), event))
-            std::visit([&](const auto& what) { perform(exchange, what); }, action);
+            std::visit([&](const auto& work) { perform(exchange, work); }, action);
         const auto deadline = exchange->flow->nextDeadline();
         if (exchange->flow->isDone() || deadline == exchange->timerSetFor)
             return;
@@ -201,15 +202,13 @@
     {
         auto& worker = workerOf(to);
         const int from = exchange->entry->dataCentre;
-        const bool sent = carry(from, worker, [this, exchange, operation, answer, &worker, from] {
+        const bool sent = sendMessage(from, worker, [this, exchange, operation, answer, &worker, from] {
             auto event = answer(worker);
-            const bool lost = isCut(worker.dataCentre, from) || (has(fault_kind::MessageLost) && chance(0.02));
+            const bool lost = isCut(worker.dataCentre, from) || (hasFault(fault_kind::MessageLost) && chance(0.02));
             if (lost)
                 lose(exchange, operation, false);
             else
-                m_time.after(flightTime(), [this, exchange, operation, event] {
-                    feed(exchange, { operation, event });
-                });
+                m_time.after(drawDelay(), [this, exchange, operation, event] { feed(exchange, { operation, event }); });
         });
         if (!sent)
             lose(exchange, operation, isCut(from, worker.dataCentre) && chance(0.5));
@@ -217,7 +216,7 @@
 
     void perform(const exchange_ptr& exchange, const send_claim& action)
     {
-        if (m_options.way == claim_way::Table) {
+        if (m_options.claimLocation == claim_location::Table) {
             claimInTable(exchange, action);
             return;
         }
@@ -242,7 +241,7 @@
 
     void perform(const exchange_ptr& exchange, const send_close& action)
     {
-        if (m_options.way == claim_way::Table) {
+        if (m_options.claimLocation == claim_location::Table) {
             if (action.releases)
                 m_tableLedger.release(action.key, *action.releases);
             const auto reply = m_tableLedger.close(m_time.now(), action.key, action.attemptNumber);
@@ -278,7 +277,7 @@
         if (const auto left = m_leftAt.find(action.place.workerIncarnation); left != m_leftAt.end())
             m_report.drainLateWork = std::max(m_report.drainLateWork, m_time.now() - left->second);
         const auto deadline = m_time.now() + requestTimeout;
-        const bool sent = carry(exchange->entry->dataCentre, worker, [this, exchange, action, &worker, deadline] {
+        const bool sent = sendMessage(exchange->entry->dataCentre, worker, [this, exchange, action, &worker, deadline] {
             const admission_job job { .attempt = action.attempt,
                 .customer = customer_id("c"),
                 .deadline = deadline,
@@ -301,9 +300,9 @@
     void perform(const exchange_ptr& exchange, const send_join& action)
     {
         auto& worker = workerOf(action.place.worker);
-        const bool sent = carry(exchange->entry->dataCentre, worker, [this, exchange, action, &worker] {
+        const bool sent = sendMessage(exchange->entry->dataCentre, worker, [this, exchange, action, &worker] {
             if (action.place.workerIncarnation != worker.executor->ownIncarnation())
-                m_time.after(flightTime(), [this, exchange, action] {
+                m_time.after(drawDelay(), [this, exchange, action] {
                     feed(exchange, { action.operation, other_incarnation_answered {} });
                 });
             else
@@ -322,7 +321,7 @@
             return;
         const bool arrives = isAlive(exchange);
         if (arrives)
-            m_time.after(milliseconds(1, 3), [this, exchange, action] { callerHears(exchange, action); });
+            m_time.after(milliseconds(1, 3), [this, exchange, action] { onCallerAnswered(exchange, action); });
     }
 
     // Worker daemon.
@@ -341,7 +340,7 @@
         const exchange_ptr& exchange, std::uint64_t operation, trial_worker& worker, const answer_piece& piece)
     {
         const int to = exchange->entry->dataCentre;
-        if (isCut(worker.dataCentre, to) || (has(fault_kind::MessageLost) && chance(0.01))) {
+        if (isCut(worker.dataCentre, to) || (hasFault(fault_kind::MessageLost) && chance(0.01))) {
             lose(exchange, operation, false);
             return false;
         }
@@ -370,7 +369,7 @@
         };
         // Late pieces may overtake each other, unlike with TCP. The flow must handle that too.
         if (const auto event = std::visit(visitor {}, piece))
-            m_time.after(flightTime(), [this, exchange, operation, event = *event] {
+            m_time.after(drawDelay(), [this, exchange, operation, event = *event] {
                 feed(exchange, { operation, event });
             });
         return true;
@@ -406,16 +405,16 @@
     void runOnEngine(trial_worker& worker, const attempt_id& attempt)
     {
         auto& request = *m_requests[worker.requests.at(attempt)];
-        const bool unreachable = has(fault_kind::EngineFails) && chance(0.03);
+        const bool unreachable = hasFault(fault_kind::EngineFails) && chance(0.03);
         if (!unreachable)
             ++request.runs;
-        const bool breaks = has(fault_kind::EngineFails) && chance(0.03);
-        const auto life = worker.life;
-        const auto later = [this, &worker, life](duration delay, std::function<void(attempt_executor&)> what) {
-            deliverTo(worker, m_time.now() + delay, [this, &worker, life, what = std::move(what)] {
-                if (worker.life != life)
+        const bool breaks = hasFault(fault_kind::EngineFails) && chance(0.03);
+        const auto incarnationId = worker.incarnationId;
+        const auto later = [this, &worker, incarnationId](duration delay, std::function<void(attempt_executor&)> work) {
+            deliverAt(worker, m_time.now() + delay, [this, &worker, incarnationId, work = std::move(work)] {
+                if (worker.incarnationId != incarnationId)
                     return;
-                what(*worker.executor);
+                work(*worker.executor);
                 perform(worker);
             });
         };
@@ -449,12 +448,12 @@
     }
 
     // Caller.
-    void callerHears(const exchange_ptr& exchange, const finish_request& told)
+    void onCallerAnswered(const exchange_ptr& exchange, const finish_request& finished)
     {
         auto& request = exchange->request;
         if (request.settled || request.current != exchange->attempt)
             return;
-        if (told.result == outcome::Answer) {
+        if (finished.result == outcome::Answer) {
             request.settled = true;
             ++m_report.answered;
             m_report.answerTime += m_time.now() - request.firstAt;
@@ -463,19 +462,19 @@
             return;
         }
         ++m_report.refusedAttempts;
-        if (told.result == outcome::NotRun) {
+        if (finished.result == outcome::NotRun) {
             if (request.runs > 0)
                 ++m_report.falseNotRun;
-            request.toldNotRun
-                = chance(0.5) || request.attempts >= maxCallerAttempts || told.reason == refusal::KeyClosed;
-            if (request.toldNotRun) {
+            request.reportedNotRun
+                = chance(0.5) || request.attempts >= maxCallerAttempts || finished.reason == refusal::KeyClosed;
+            if (request.reportedNotRun) {
                 request.settled = true;
                 ++m_report.notRun;
                 return;
             }
         }
-        callerDecides(
-            request, told.result == outcome::NotRun, told.reason != refusal::HomeCannotRuleOut, told.retryAfter);
+        retryOrSettle(request, finished.result == outcome::NotRun, finished.reason != refusal::HomeCannotRuleOut,
+            finished.retryAfter);
     }
 
     void callerGivesUp(const exchange_ptr& exchange)
@@ -484,17 +483,17 @@
         if (request.settled || request.current != exchange->attempt)
             return;
         ++m_report.refusedAttempts;
-        callerDecides(request, false, true, {});
+        retryOrSettle(request, false, true, {});
     }
 
     // Retries a request or settles it. Without a key, a caller retries only a request that was not run. With a key, it
     // retries within the key's lifetime unless the answer forbids that.
-    void callerDecides(trial_request& request, bool wasNotRun, bool keyHelps, duration wait)
+    void retryOrSettle(trial_request& request, bool wasNotRun, bool keyHelps, duration wait)
     {
         request.current = -1;
         const bool inLifetime = m_time.now() + wait + requestTimeout < request.firstAt + keyLifetime;
         const bool mayRepeat
-            = (request.keyed && keyHelps && inLifetime) || wasNotRun || m_options.way == claim_way::None;
+            = (request.keyed && keyHelps && inLifetime) || wasNotRun || m_options.claimLocation == claim_location::None;
         if (!mayRepeat || request.attempts >= maxCallerAttempts) {
             request.settled = true;
             ++m_report.unknown;
@@ -510,7 +509,7 @@
         m_report.drainCut = m_drainCut;
         for (const auto& request : m_requests) {
             m_report.doubled += request->runs > 1 ? 1 : 0;
-            m_report.falseNotRun += request->toldNotRun && request->runs > 0 ? 1 : 0;
+            m_report.falseNotRun += request->reportedNotRun && request->runs > 0 ? 1 : 0;
         }
         return m_report;
     }
--- a/coltsfootbend/measure/request_trial.h
+++ b/coltsfootbend/measure/request_trial.h
@@ -34,24 +34,24 @@
 const char* toString(fault_kind);
 
 // Where the claim of a key is stored. docs/design/AT-MOST-ONCE.md compares these alternatives.
-enum class claim_way {
+enum class claim_location {
     Home, // Shipped: in the worker daemon that the key hashes to.
     Table, // In a row of the platform's table for each key.
     Ticket, // Shipped: in a worker daemon of the data centre that received the first attempt, named in the key.
     None, // Baseline: no claims; every lost attempt is retried on another worker.
 };
-const char* toString(claim_way);
+const char* toString(claim_location);
 
 // Number of requests, the faults to inject and the mix of keys.
 struct request_trial_options {
     std::uint64_t seed = 1;
     std::size_t requests = 1000;
     std::vector<fault_kind> faults {};
-    claim_way way = claim_way::Home;
+    claim_location claimLocation = claim_location::Home;
     // Share of the requests that carry a key, and the share of those whose callers number their attempts.
     double keyedShare = 0.7;
     double countedShare = 0.5;
-    // Share of the keys that are tickets. Applies to `claim_way::Home`.
+    // Share of the keys that are tickets. Applies to `claim_location::Home`.
     double ticketShare = 0;
 };
 
--- a/coltsfootbend/measure/request_trial_test.cpp
+++ b/coltsfootbend/measure/request_trial_test.cpp
@@ -27,8 +27,9 @@
     std::size_t doubled = 0;
     for (const auto fault :
         { fault_kind::MessageLost, fault_kind::MessageLate, fault_kind::EngineFails, fault_kind::CallerGone })
-        doubled
-            += runRequestTrial({ .seed = 1, .requests = 1000, .faults = { fault }, .way = claim_way::None }).doubled;
+        doubled += runRequestTrial(
+            { .seed = 1, .requests = 1000, .faults = { fault }, .claimLocation = claim_location::None })
+                       .doubled;
     EXPECT_GT(doubled, 10U);
 }
 
@@ -60,7 +61,7 @@
     const auto report = runRequestTrial({ .seed = 1,
         .requests = 1000,
         .faults = { fault_kind::DataCentreCut },
-        .way = claim_way::Ticket,
+        .claimLocation = claim_location::Ticket,
         .keyedShare = 1 });
     EXPECT_EQ(report.refusedAttempts, 0U);
 }
--- a/coltsfootbend/measure/request_world.cpp
+++ b/coltsfootbend/measure/request_world.cpp
@@ -18,14 +18,14 @@
     : m_options(options)
     , m_random(options.seed)
 {
-    for (int i = 0; i < dataCentres * workersEach; ++i) {
+    for (int i = 0; i < dataCentres * workersPerDataCentre; ++i) {
         m_workers.push_back(std::make_unique<trial_worker>());
         m_workers.back()->id = vm_id("w" + std::to_string(i));
-        m_workers.back()->dataCentre = i / workersEach;
+        m_workers.back()->dataCentre = i / workersPerDataCentre;
         m_holders.push_back(m_workers.back()->id);
-        startLife(*m_workers.back());
+        startIncarnation(*m_workers.back());
     }
-    for (int i = 0; i < dataCentres * entriesEach; ++i)
+    for (int i = 0; i < dataCentres * entriesPerDataCentre; ++i)
         m_entries.push_back(newEntry(i));
 }
 
@@ -34,7 +34,7 @@
 {
     return std::chrono::microseconds(std::uniform_int_distribution<int>(least * 1000, most * 1000)(m_random));
 }
-bool request_world::has(fault_kind kind) const
+bool request_world::hasFault(fault_kind kind) const
 {
     return std::find(m_options.faults.begin(), m_options.faults.end(), kind) != m_options.faults.end();
 }
@@ -43,15 +43,15 @@
 {
     auto entry = std::make_shared<trial_entry>();
     entry->id = vm_id("e" + std::to_string(index));
-    entry->dataCentre = index / entriesEach;
-    entry->life = incarnation(++m_lives);
+    entry->dataCentre = index / entriesPerDataCentre;
+    entry->incarnationId = incarnation(++m_lastIncarnation);
     entry->routes = std::make_unique<router>(router::options { .seed = m_random() });
     entry->retries = std::make_unique<retry_budget>(retry_budget::options { .reserve = 50, .maxRetries = 200 });
-    tellWorkers(*entry);
+    updateKnownWorkers(*entry);
     return entry;
 }
 
-void request_world::tellWorkers(trial_entry& entry)
+void request_world::updateKnownWorkers(trial_entry& entry)
 {
     std::vector<routing_worker> known;
     for (const auto& worker : m_workers)
@@ -62,39 +62,39 @@
 }
 
 // Updates the known workers of all entry VMs, each after a different delay.
-void request_world::announce()
+void request_world::announceWorkers()
 {
     for (auto& entry : m_entries)
-        m_time.after(milliseconds(0, 900), [this, entry] { tellWorkers(*entry); });
+        m_time.after(milliseconds(0, 900), [this, entry] { updateKnownWorkers(*entry); });
 }
 
-void request_world::startLife(trial_worker& worker)
+void request_world::startIncarnation(trial_worker& worker)
 {
-    const auto life = incarnation(++m_lives);
-    const bool isFirst = worker.life == 0;
-    worker.life = life.number();
+    const auto incarnationId = incarnation(++m_lastIncarnation);
+    const bool isFirst = worker.incarnationId == 0;
+    worker.incarnationId = incarnationId.number();
     worker.followers.clear();
     worker.requests.clear();
-    worker.executor = std::make_unique<attempt_executor>(attempt_executor::options { .ownIncarnation = life,
+    worker.executor = std::make_unique<attempt_executor>(attempt_executor::options { .ownIncarnation = incarnationId,
         .table = { .maxAttempts = 2000, .maxAnswerBytes = 1'000'000 },
         .queue = { .slots = 4, .maxWaiting = 16 },
         .ledger = { .keyLifetime = keyLifetime,
             .maxKeys = 100'000,
             .completeFrom = m_time.now() + keyLifetime,
             .waitForRegistration = true } });
-    registerLife(worker, life);
+    registerIncarnation(worker, incarnationId);
     if (!isFirst)
-        announce();
+        announceWorkers();
 }
 
-void request_world::registerLife(trial_worker& worker, incarnation life)
+void request_world::registerIncarnation(trial_worker& worker, incarnation incarnationId)
 {
-    if (worker.executor->ownIncarnation() != life)
+    if (worker.executor->ownIncarnation() != incarnationId)
         return;
-    const auto done = registerLedger(
-        { m_platform, m_platform }, { worker.id, life }, worker.executor->ledger(), m_time.now(), m_time.now());
+    const auto done = registerLedger({ m_platform, m_platform }, { worker.id, incarnationId },
+        worker.executor->ledger(), m_time.now(), m_time.now());
     if (!done)
-        m_time.after(200ms, [this, &worker, life] { registerLife(worker, life); });
+        m_time.after(200ms, [this, &worker, incarnationId] { registerIncarnation(worker, incarnationId); });
 }
 
 trial_worker& request_world::workerOf(const vm_id& id)
@@ -104,15 +104,15 @@
 
 void request_world::inject(fault_kind kind)
 {
-    auto& worker = *m_workers[pick(m_workers.size())];
+    auto& worker = *m_workers[randomIndex(m_workers.size())];
     switch (kind) {
     case fault_kind::EntryDies: {
-        const auto index = pick(m_entries.size());
+        const auto index = randomIndex(m_entries.size());
         m_entries[index] = newEntry(static_cast<int>(index));
         return;
     }
     case fault_kind::WorkerDies:
-        startLife(worker);
+        startIncarnation(worker);
         return;
     case fault_kind::WorkerPaused:
         worker.pausedUntil = m_time.now() + milliseconds(200, 4000);
@@ -124,15 +124,16 @@
             worker.executor->ledger(), m_time.now(), m_time.now());
         worker.leftAt = m_time.now();
         m_leftAt[worker.executor->ownIncarnation()] = m_time.now();
-        announce();
-        m_time.after(300ms, [this, &worker, life = worker.life] { endLife(worker, life); });
+        announceWorkers();
+        m_time.after(
+            300ms, [this, &worker, incarnationId = worker.incarnationId] { endIncarnation(worker, incarnationId); });
         return;
     case fault_kind::DataCentreCut:
-        m_cutOff = static_cast<int>(pick(dataCentres));
+        m_cutOff = static_cast<int>(randomIndex(dataCentres));
         m_time.after(milliseconds(300, 1200), [this] { m_cutOff = -1; });
         return;
     case fault_kind::StoreDown:
-        m_platform.setFaults({ .down = chance(0.7), .loseNextAnswers = static_cast<int>(pick(3)) });
+        m_platform.setFaults({ .down = chance(0.7), .loseNextAnswers = static_cast<int>(randomIndex(3)) });
         m_time.after(milliseconds(300, 1300), [this] { m_platform.setFaults({}); });
         return;
     case fault_kind::MessageLost:
@@ -144,41 +145,41 @@
 }
 
 // Ends a planned stop when no attempt runs and no answer is read any more, or at the drain limit.
-void request_world::endLife(trial_worker& worker, std::uint64_t life)
+void request_world::endIncarnation(trial_worker& worker, std::uint64_t incarnationId)
 {
-    if (worker.life != life)
+    if (worker.incarnationId != incarnationId)
         return;
     const bool isOver = worker.executor->isIdle() && worker.followers.empty();
     if (!isOver && m_time.now() < worker.leftAt + drainLimit) {
-        m_time.after(20ms, [this, &worker, life] { endLife(worker, life); });
+        m_time.after(20ms, [this, &worker, incarnationId] { endIncarnation(worker, incarnationId); });
         return;
     }
     m_drainCut += worker.followers.size();
     ++m_drains;
-    startLife(worker);
+    startIncarnation(worker);
 }
 
-duration request_world::flightTime()
+duration request_world::drawDelay()
 {
-    if (has(fault_kind::MessageLate) && chance(0.03))
+    if (hasFault(fault_kind::MessageLate) && chance(0.03))
         return milliseconds(20, 3000);
     return milliseconds(1, 2);
 }
 
-bool request_world::carry(int from, trial_worker& worker, std::function<void()> deliver)
+bool request_world::sendMessage(int from, trial_worker& worker, std::function<void()> deliver)
 {
-    const bool lost = isCut(from, worker.dataCentre) || (has(fault_kind::MessageLost) && chance(0.02));
+    const bool lost = isCut(from, worker.dataCentre) || (hasFault(fault_kind::MessageLost) && chance(0.02));
     if (lost)
         return false;
-    deliverTo(worker, m_time.now() + flightTime(), std::move(deliver));
+    deliverAt(worker, m_time.now() + drawDelay(), std::move(deliver));
     return true;
 }
 
-void request_world::deliverTo(trial_worker& worker, time_point when, std::function<void()> deliver)
+void request_world::deliverAt(trial_worker& worker, time_point when, std::function<void()> deliver)
 {
     m_time.at(when, [this, &worker, deliver = std::move(deliver)]() mutable {
         if (m_time.now() < worker.pausedUntil)
-            deliverTo(worker, worker.pausedUntil, std::move(deliver));
+            deliverAt(worker, worker.pausedUntil, std::move(deliver));
         else
             deliver();
     });
--- a/coltsfootbend/measure/request_world.h
+++ b/coltsfootbend/measure/request_world.h
@@ -21,8 +21,8 @@
 namespace coltsfootbend {
 
 constexpr int dataCentres = 3;
-constexpr int entriesEach = 2;
-constexpr int workersEach = 3;
+constexpr int entriesPerDataCentre = 2;
+constexpr int workersPerDataCentre = 3;
 constexpr std::chrono::milliseconds requestTimeout { 1500 };
 constexpr std::chrono::seconds keyLifetime { 60 };
 
@@ -30,7 +30,7 @@
 struct trial_worker {
     vm_id id;
     int dataCentre = 0;
-    std::uint64_t life = 0;
+    std::uint64_t incarnationId = 0;
     std::unique_ptr<attempt_executor> executor;
     time_point pausedUntil {};
     time_point leftAt {};
@@ -43,12 +43,12 @@
 struct trial_entry final : public attempt_source {
     vm_id id;
     int dataCentre = 0;
-    incarnation life;
+    incarnation incarnationId;
     std::uint64_t serial = 0;
     std::unique_ptr<router> routes;
     std::unique_ptr<retry_budget> retries;
 
-    attempt_id nextAttempt() override { return { id, life, ++serial }; }
+    attempt_id nextAttempt() override { return { id, incarnationId, ++serial }; }
 };
 
 // Base class of `request_trial` that holds the processes, the clock and the random source.
@@ -60,8 +60,8 @@
 protected:
     bool chance(double share);
     duration milliseconds(int least, int most);
-    std::size_t pick(std::size_t count) { return m_random() % count; }
-    bool has(fault_kind) const;
+    std::size_t randomIndex(std::size_t count) { return m_random() % count; }
+    bool hasFault(fault_kind) const;
 
     trial_worker& workerOf(const vm_id&);
     // Called after a fault has changed the work of a worker daemon.
@@ -69,11 +69,11 @@
     void inject(fault_kind);
 
     bool isCut(int from, int to) const { return from != to && (from == m_cutOff || to == m_cutOff); }
-    duration flightTime();
+    duration drawDelay();
     // Sends one message to a worker daemon, which receives it after its pause, if it is paused. Returns false if the
     // message is lost.
-    bool carry(int from, trial_worker&, std::function<void()> deliver);
-    void deliverTo(trial_worker&, time_point when, std::function<void()> deliver);
+    bool sendMessage(int from, trial_worker&, std::function<void()> deliver);
+    void deliverAt(trial_worker&, time_point when, std::function<void()> deliver);
 
     const request_trial_options m_options;
     std::mt19937_64 m_random;
@@ -89,13 +89,13 @@
 
 private:
     std::shared_ptr<trial_entry> newEntry(int index);
-    void tellWorkers(trial_entry&);
-    void announce();
-    void startLife(trial_worker&);
-    void registerLife(trial_worker&, incarnation life);
-    void endLife(trial_worker&, std::uint64_t life);
+    void updateKnownWorkers(trial_entry&);
+    void announceWorkers();
+    void startIncarnation(trial_worker&);
+    void registerIncarnation(trial_worker&, incarnation incarnationId);
+    void endIncarnation(trial_worker&, std::uint64_t incarnationId);
 
-    std::uint64_t m_lives = 0;
+    std::uint64_t m_lastIncarnation = 0;
 };
 
 } // namespace coltsfootbend
--- a/coltsfootbend/measure/scenario.h
+++ b/coltsfootbend/measure/scenario.h
@@ -36,7 +36,7 @@
 // A named scenario, its description for `--list`, and the function that measures it.
 struct scenario {
     std::string name;
-    std::string what;
+    std::string description;
     std::function<void(figure_writer&)> run;
 };
 
