--- a/coltsfootbend/measure/cost_scenarios.cpp
+++ b/coltsfootbend/measure/cost_scenarios.cpp
@@ -1,5 +1,6 @@
-// What decisions and state cost: nanoseconds and bytes, at several sizes, so that the planned size can be worked out
-// from the slopes. Wall-clock figures are noisy; docs/CAPACITY.md uses the ratios and rounds up.
+// Measures the cost of decisions and state in nanoseconds and bytes at several sizes, so that the cost at the planned
+// size can be extrapolated from the slopes. Wall-clock figures are noisy; docs/CAPACITY.md uses the ratios and rounds
+// up.
 
 #include "coltsfootbend/base/hash.h"
 #include "coltsfootbend/config/config_state.h"
@@ -22,7 +23,7 @@
 
 const time_point start = time_point {} + 1h;
 
-// Nanoseconds each of `count` calls take, the best of three rounds.
+// Returns the nanoseconds per call over `count` calls, the minimum of three rounds.
 template <typename Work> double nanosecondsEach(std::size_t count, const Work& work)
 {
     double best = 0;
@@ -45,7 +46,7 @@
     return pages * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-// Bytes that each of `count` items adds to the process.
+// Returns the bytes by which each of `count` items enlarges the process.
 template <typename Fill> double bytesEach(std::size_t count, const Fill& fill)
 {
     const double before = residentBytes();
@@ -101,12 +102,12 @@
     const auto directoryOf = [](std::size_t count) {
         auto directory = std::make_unique<worker_directory>(worker_directory::options {});
         for (std::size_t i = 0; i < count; ++i) {
-            wire::announce word;
-            word.worker = vm_id("worker-" + std::to_string(i));
-            word.workerIncarnation = incarnation(i + 1);
-            word.address = "10.0.0.1:9000";
-            word.deployments = { deployment_id("drafts") };
-            (void)directory->observe(start, word);
+            wire::announce announcement;
+            announcement.worker = vm_id("worker-" + std::to_string(i));
+            announcement.workerIncarnation = incarnation(i + 1);
+            announcement.address = "10.0.0.1:9000";
+            announcement.deployments = { deployment_id("drafts") };
+            (void)directory->observe(start, announcement);
         }
         return directory;
     };
@@ -119,14 +120,14 @@
 
 void measureMessages(figure_writer& out)
 {
-    wire::announce word;
-    word.worker = vm_id("worker-1234");
-    word.workerIncarnation = incarnation(~0ULL);
-    word.dataCentre = data_centre_id("ist-1");
-    word.address = "10.20.30.40:9000";
-    word.deployments = { deployment_id("drafts") };
-    word.current.pendingServiceUs = { 100'000, 200'000 };
-    const wire::message message { vm_id("worker-1234"), incarnation(~0ULL), config_version(9400), word };
+    wire::announce announcement;
+    announcement.worker = vm_id("worker-1234");
+    announcement.workerIncarnation = incarnation(~0ULL);
+    announcement.dataCentre = data_centre_id("ist-1");
+    announcement.address = "10.20.30.40:9000";
+    announcement.deployments = { deployment_id("drafts") };
+    announcement.current.pendingServiceUs = { 100'000, 200'000 };
+    const wire::message message { vm_id("worker-1234"), incarnation(~0ULL), config_version(9400), announcement };
     const auto bytes = wire::encode(message);
     out.write("message.announce_bytes", static_cast<double>(bytes.size()), "bytes");
     out.write("message.encode_ns", nanosecondsEach(50'000, [&](std::size_t) { (void)wire::encode(message); }), "ns");
--- a/coltsfootbend/measure/main.cpp
+++ b/coltsfootbend/measure/main.cpp
@@ -1,5 +1,4 @@
-// Prints the figures that the docs quote: scenarios in virtual time with fixed seeds, driving the shipped decision
-// code.
+// Prints the figures that the docs quote. Runs scenarios in virtual time with fixed seeds on the shipped decision code.
 
 #include "coltsfootbend/measure/scenario.h"
 
@@ -27,7 +26,7 @@
         wanted = arguments["scenario"].as<std::vector<std::string>>();
     if (arguments.count("list") > 0) {
         for (const auto& known : scenarios())
-            std::cout << known.name << "  " << known.what << "\n";
+            std::cout << known.name << "  " << known.description << "\n";
         return 0;
     }
     for (const auto& name : wanted) {
--- a/coltsfootbend/measure/rebalance_scenarios.cpp
+++ b/coltsfootbend/measure/rebalance_scenarios.cpp
@@ -1,4 +1,4 @@
-// Skew and rebalancing cost over two days of drifting popularity, for each user's weights, beside plain ways.
+// Measures skew and rebalancing cost over two days of drifting popularity, for each user's weights and for baselines.
 
 #include "coltsfootbend/group/rebalancer.h"
 #include "coltsfootbend/measure/scenario.h"
@@ -19,10 +19,11 @@
 constexpr std::uint32_t slots = 6;
 constexpr int minutesADay = 24 * 60;
 constexpr int minutes = 2 * minutesADay;
-constexpr int reportLag = 3; // Minutes until a load is known.
+constexpr int reportLag = 3; // Minutes until a load report is received.
 constexpr int eventStart = minutesADay + 9 * 60;
 
-// Popularity of each expert, minute by minute: a daily shape, a slow drift, and a sudden shift when an event starts.
+// Simulates the popularity of each expert minute by minute: a daily cycle, a slow drift, and a sudden shift when an
+// event starts.
 class popularity_trace {
 public:
     explicit popularity_trace(std::uint64_t seed)
@@ -63,7 +64,7 @@
     std::vector<double> m_shift;
 };
 
-// Gives each group of experts to the rank that holds most of them already, so that equal groups do not travel.
+// Assigns each group of experts to the rank that already holds most of them, so that unchanged groups do not move.
 std::vector<std::vector<expert_number>> matchedTo(
     const placement& current, const std::vector<std::vector<expert_number>>& groups)
 {
@@ -84,7 +85,8 @@
     return matched;
 }
 
-// A greedy optimum made from nothing: most replicas for the most popular, the largest pieces first.
+// Returns a greedy placement made from scratch: gives the most popular experts the most replicas, and places the
+// largest pieces first.
 placement greedyOptimum(const expert_load& load, const placement& current)
 {
     std::vector<std::uint32_t> counts(experts, 1);
@@ -115,7 +117,7 @@
     }
     held = matchedTo(current, held);
     auto made = placement::initial(ranks, experts, slots);
-    // Two rounds, so that no expert is without a place in between.
+    // Replaces in two rounds, so that every expert keeps a slot meanwhile.
     for (int round = 0; round < 2; ++round) {
         for (rank_number rank = 0; rank < ranks; ++rank) {
             for (std::uint32_t slot = 0; slot < slots; ++slot)
@@ -127,19 +129,19 @@
 
 struct policy {
     rebalancer::options weights;
-    // Of each day, in minutes.
+    // Protected hours, in minutes from the start of each day.
     int protectedFrom = 0;
     int protectedTo = 0;
 };
 
 struct outcome_figures {
-    double skew = 0; // Mean over the minutes.
+    double skew = 0; // Mean over all minutes.
     double moves = 0;
     double movesInProtectedHours = 0;
-    double planMs = 0; // Longest.
+    double planMs = 0; // Maximum, in milliseconds.
 };
 
-enum class way { Planned, Never, Greedy, PerfectForecast };
+enum class placement_policy { Planned, Never, Greedy, PerfectForecast };
 
 time_point timeOf(int minute) { return time_point {} + std::chrono::minutes(minute + 60); }
 
@@ -151,7 +153,7 @@
     return windows;
 }
 
-outcome_figures runTrace(way how, const policy& policy, std::uint64_t seed)
+outcome_figures runTrace(placement_policy how, const policy& policy, std::uint64_t seed)
 {
     popularity_trace trace(seed);
     std::vector<expert_load> seen;
@@ -163,15 +165,15 @@
     for (int minute = 0; minute < minutes; ++minute) {
         seen.push_back(trace.at(minute));
         const auto& known = seen[static_cast<std::size_t>(std::max(0, minute - reportLag))];
-        // Every fifth report is missing.
+        // Simulates the loss of every fifth report.
         if (minute % 5 != 0)
             shipped.observe(known);
         auto next = current;
-        if (how == way::Greedy) {
+        if (how == placement_policy::Greedy) {
             next = greedyOptimum(known, current);
-        } else if (how == way::PerfectForecast) {
+        } else if (how == placement_policy::PerfectForecast) {
             next = greedyOptimum(seen.back(), current);
-        } else if (how == way::Planned) {
+        } else if (how == placement_policy::Planned) {
             const auto startedAt = std::chrono::steady_clock::now();
             if (const auto plan = shipped.planIfDue(timeOf(minute))) {
                 shipped.onPlanApplied(*plan);
@@ -181,7 +183,7 @@
             figures.planMs = std::max(figures.planMs, took.count());
         }
         const auto moves = static_cast<double>(current.countMovesTo(next));
-        // The first placement is nobody's rebalancing.
+        // The initial placement does not count as a rebalance.
         if (minute > 0) {
             figures.moves += moves;
             figures.movesInProtectedHours += shipped.isProtected(timeOf(minute)) ? moves : 0;
@@ -195,10 +197,10 @@
 void measureSkew(figure_writer& out, const std::string& user, const policy& policy)
 {
     constexpr std::uint64_t seed = 11;
-    const auto planned = runTrace(way::Planned, policy, seed);
-    const auto never = runTrace(way::Never, policy, seed);
-    const auto greedy = runTrace(way::Greedy, policy, seed);
-    const auto perfect = runTrace(way::PerfectForecast, policy, seed);
+    const auto planned = runTrace(placement_policy::Planned, policy, seed);
+    const auto never = runTrace(placement_policy::Never, policy, seed);
+    const auto greedy = runTrace(placement_policy::Greedy, policy, seed);
+    const auto perfect = runTrace(placement_policy::PerfectForecast, policy, seed);
     out.write("skew.max_over_mean", planned.skew, "ratio", greedy.skew, "greedy optimum each minute");
     out.write("skew.max_over_mean.never", never.skew, "ratio");
     out.write("skew.max_over_mean.perfect_forecast", perfect.skew, "ratio");
--- a/coltsfootbend/measure/request_trial_test.cpp
+++ b/coltsfootbend/measure/request_trial_test.cpp
@@ -6,7 +6,7 @@
 namespace coltsfootbend {
 namespace {
 
-// The brief's promises to callers, under any two faults and any seed.
+// Checks the guarantees to callers under any two faults and any seed.
 RC_GTEST_PROP(Promises, NothingIsDoubledMispairedOrFalselyNotRun, ())
 {
     const auto fault = [] { return static_cast<fault_kind>(*rc::gen::inRange<std::size_t>(0, faultKinds)); };
@@ -21,14 +21,15 @@
     RC_ASSERT(report.answered + report.notRun + report.unknown == report.tried);
 }
 
-// The trial can fail: the same faults without claims do double.
+// Checks that the trial detects requests that run twice: without claims, these faults cause them.
 TEST(Promises, WithoutClaimsTheSameFaultsDouble)
 {
     std::size_t doubled = 0;
     for (const auto fault :
         { fault_kind::MessageLost, fault_kind::MessageLate, fault_kind::EngineFails, fault_kind::CallerGone })
-        doubled
-            += runRequestTrial({ .seed = 1, .requests = 1000, .faults = { fault }, .way = claim_way::None }).doubled;
+        doubled += runRequestTrial(
+            { .seed = 1, .requests = 1000, .faults = { fault }, .claimLocation = claim_location::None })
+                       .doubled;
     EXPECT_GT(doubled, 10U);
 }
 
@@ -60,7 +61,7 @@
     const auto report = runRequestTrial({ .seed = 1,
         .requests = 1000,
         .faults = { fault_kind::DataCentreCut },
-        .way = claim_way::Ticket,
+        .claimLocation = claim_location::Ticket,
         .keyedShare = 1 });
     EXPECT_EQ(report.refusedAttempts, 0U);
 }
