--- a/coltsfootbend/group/large_group_test.cpp
+++ b/coltsfootbend/group/large_group_test.cpp
@@ -152,8 +152,8 @@
         , transport(group, rank)
         , relay(group.runtime, transport)
         , node(group.runtime, participant, relay)
-        , carrier(group.runtime, relay)
-        , leader(group.runtime, participant, carrier,
+        , dispatcher(group.runtime, relay)
+        , leader(group.runtime, participant, dispatcher,
               map_leader::options {
                   .planner = { .placesPerRank = 3, .maxNewExpertsPerSet = 1, .gainPerMove = 0.0005 },
                   .sets = sets,
@@ -168,7 +168,7 @@
     link_transport transport;
     order_relay relay;
     relay_node node;
-    relay_dispatcher carrier;
+    relay_dispatcher dispatcher;
     map_leader leader;
 };
 
--- a/coltsfootbend/group/map_leader.cpp
+++ b/coltsfootbend/group/map_leader.cpp
@@ -120,11 +120,11 @@
 
 } // namespace
 
-map_leader::map_leader(fiber_runtime& runtime, map_participant& participant, order_dispatcher& carrier,
+map_leader::map_leader(fiber_runtime& runtime, map_participant& participant, order_dispatcher& dispatcher,
     const options& options, std::minstd_rand::result_type seed)
     : m_runtime(runtime)
     , m_participant(participant)
-    , m_carrier(carrier)
+    , m_dispatcher(dispatcher)
     , m_options(options)
     , m_planner(options.planner)
     , m_random(seed)
@@ -157,13 +157,13 @@
 
 dispatch_result map_leader::sendToAll(const wire::rank_order& order, const std::vector<addressee>& to, duration timeout)
 {
-    auto carried = m_carrier.dispatch(order, to, clock_type::now() + timeout,
+    auto dispatched = m_dispatcher.dispatch(order, to, clock_type::now() + timeout,
         { .interval = m_options.heartbeatInterval, .send = [this] { sendHeartbeat(); } });
-    for (const auto& state : carried.states) {
+    for (const auto& state : dispatched.states) {
         if (state && state->group == m_group)
             yieldToHigherTerm(*state);
     }
-    return carried;
+    return dispatched;
 }
 
 std::vector<addressee> map_leader::addresseesOf(const std::vector<member>& members) const
@@ -202,8 +202,8 @@
     const auto deadline = clock_type::now() + m_options.queryTimeout;
     const wire::rank_query query { .scope = { .term = m_term, .group = m_group, .epoch = m_epoch } };
     // The answers are not needed: a newer leader's term also arrives with the answers to the step itself.
-    m_runtime.spawn([&carrier = m_carrier, query, to = addresseesOf(m_members), deadline] {
-        (void)carrier.dispatch(query, to, deadline, {});
+    m_runtime.spawn([&dispatcher = m_dispatcher, query, to = addresseesOf(m_members), deadline] {
+        (void)dispatcher.dispatch(query, to, deadline, {});
     });
 }
 
@@ -238,11 +238,11 @@
     for (const auto& channel : m_peers)
         to.push_back({ .channel = channel });
     selectDemandSources(to);
-    auto carried = sendToAll(query, to, timeout);
-    m_relayedDemand = std::move(carried.demand);
+    auto dispatched = sendToAll(query, to, timeout);
+    m_relayedDemand = std::move(dispatched.demand);
     std::map<rank_number, member> membersByDistance;
-    for (std::size_t i = 0; i < carried.states.size(); ++i) {
-        const auto& answer = carried.states[i];
+    for (std::size_t i = 0; i < dispatched.states.size(); ++i) {
+        const auto& answer = dispatched.states[i];
         if (!answer || answer->group != m_group || answer->rank >= states.size() || answer->rank == localState->rank)
             continue;
         states[answer->rank] = *answer;
--- a/coltsfootbend/group/map_leader.h
+++ b/coltsfootbend/group/map_leader.h
@@ -52,7 +52,7 @@
         duration maxArmingTime = std::chrono::milliseconds(900);
     };
 
-    // `carrier` sends orders to many ranks at once; it must outlive the leader.
+    // `dispatcher` sends orders to many ranks at once; it must outlive the leader.
     map_leader(fiber_runtime&, map_participant& participant, order_dispatcher&, const options&,
         std::minstd_rand::result_type seed);
 
@@ -144,7 +144,7 @@
 
     fiber_runtime& m_runtime;
     map_participant& m_participant;
-    order_dispatcher& m_carrier;
+    order_dispatcher& m_dispatcher;
     const options m_options;
     const map_planner m_planner;
     std::minstd_rand m_random;
