--- a/coltsfootbend/gateway/limit_trial_test.cpp
+++ b/coltsfootbend/gateway/limit_trial_test.cpp
@@ -164,12 +164,12 @@
             [this, number, restarts = gateway.restarts, sentAt = m_now] { arrive(number, restarts, sentAt); });
     }
 
-    void sendToIssuer(std::size_t number, std::uint64_t serial, bool wantsPermit)
+    void sendToIssuer(std::size_t number, std::uint64_t serial, bool requestsPermit)
     {
         const auto limit = m_gateways[number].notices->limitOf(server);
-        sendDatagram([this, number, serial, wantsPermit, limit = *limit] {
+        sendDatagram([this, number, serial, requestsPermit, limit = *limit] {
             m_issuer->receiveStatement(subject, limit, m_now);
-            if (!wantsPermit)
+            if (!requestsPermit)
                 return;
             m_issuer->requestPermit(subject, permit_requester(std::to_string(number)), serial, m_now);
             reply(number, serial, false);
