--- a/coltsfootbend/gateway/backend_notices.cpp
+++ b/coltsfootbend/gateway/backend_notices.cpp
@@ -62,8 +62,8 @@
 {
     const auto incarnation = state.incarnation.number();
     if (notice.requestsPerSecond)
-        return applyLimit(
-            state, { .serverIncarnation = incarnation, .perSecond = *notice.requestsPerSecond, .isNamed = true, .at = now });
+        return applyLimit(state,
+            { .serverIncarnation = incarnation, .perSecond = *notice.requestsPerSecond, .isNamed = true, .at = now });
     // Answers overtake each other: only the answer to a request sent after the limit was received can end the limit.
     if (!notice.endsLimit || !state.limit.isNamed || sentAt <= state.limit.at)
         return {};
--- a/coltsfootbend/gateway/request_quarantine.cpp
+++ b/coltsfootbend/gateway/request_quarantine.cpp
@@ -16,7 +16,8 @@
 server_incarnation incarnationOf(const backend_server& server)
 {
     const auto& id = server.id.text();
-    return server_incarnation(server.incarnation.isNone() ? id : id + "@" + std::to_string(server.incarnation.number()));
+    return server_incarnation(
+        server.incarnation.isNone() ? id : id + "@" + std::to_string(server.incarnation.number()));
 }
 
 } // namespace
--- a/coltsfootbend/gateway/table_follower.cpp
+++ b/coltsfootbend/gateway/table_follower.cpp
@@ -211,7 +211,8 @@
     case wire::store_duty::Follow:
         m_nextCheckAt = asOf + m_options.checkInterval + m_options.dutyDelay + jitter(m_options.dutyJitter / 2);
         break;
-    case wire::store_duty::Standby: // Checks after the gateways that follow, whose reports may make the call unnecessary.
+    case wire::store_duty::Standby: // Checks after the gateways that follow, whose reports may make the call
+                                    // unnecessary.
         m_nextCheckAt = asOf + m_options.checkInterval + m_options.dutyDelay + m_options.dutyJitter
             - jitter(m_options.dutyJitter / 2);
         break;
