--- a/coltsfootbend/quarantine/crash_gossip_test.cpp
+++ b/coltsfootbend/quarantine/crash_gossip_test.cpp
@@ -193,8 +193,8 @@
     deliver();
     at(m_agents.front()).gossip.receive(m_gateways.front(), { .entries = {}, .wantsAll = true }, m_now);
     ASSERT_FALSE(m_inFlight.empty());
-    for (const auto& sent_datagram : m_inFlight)
-        EXPECT_LE(sent_datagram.report.entries.size(), 20U);
+    for (const auto& sent : m_inFlight)
+        EXPECT_LE(sent.report.entries.size(), 20U);
 }
 
 } // namespace
